--- a/src/hyssopway/control/__init__.py
+++ b/src/hyssopway/control/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .agreed_clock import AgreedClock
 from .change import Change
+from .cluster_clock import ClusterClock
 from .codec import (
     decode_envelope,
     decode_outcome,
@@ -17,8 +17,8 @@
 from .state import ControlState
 
 __all__ = [
-    "AgreedClock",
     "Change",
+    "ClusterClock",
     "ControlState",
     "Envelope",
     "Outcome",
--- a/src/hyssopway/control/agreed_clock.py
+++ b/src/hyssopway/control/cluster_clock.py
@@ -8,7 +8,7 @@
     from hyssopway.clock import Clock
 
 
-class AgreedClock:
+class ClusterClock:
     """Milliseconds that only a leader moves forward, by its monotonic clock.
 
     Wall clocks step. A daemon whose wall clock is a day ahead would otherwise end the time for which claims
@@ -43,4 +43,4 @@
         return self.last_ms
 
 
-__all__ = ["AgreedClock"]
+__all__ = ["ClusterClock"]
--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -8,7 +8,7 @@
 
 from hyssopway.agreement import Member, Store
 from hyssopway.clock import wall_ms
-from hyssopway.control import AgreedClock
+from hyssopway.control import ClusterClock
 from hyssopway.peer import PeerDirectory
 from hyssopway.replica import Freshness, Proposer, Replica, Submitter, follow_leader, follow_upstream
 from hyssopway.settings import peer_client_context
@@ -57,7 +57,7 @@
         self.clock = clock
         self.replica = Replica()
         self.freshness = Freshness(clock=clock)
-        self.agreed_clock = AgreedClock(clock=clock)
+        self.agreed_clock = ClusterClock(clock=clock)
         self.applied_times = AppliedTimes(clock=clock, read_index=lambda: self.replica.state.applied_index)
         tls = settings.tls
         self.peers = PeerDirectory(settings=settings, tls=peer_client_context(tls) if tls else None)
--- a/src/hyssopway/replica/proposer.py
+++ b/src/hyssopway/replica/proposer.py
@@ -12,7 +12,7 @@
     from expression import Result
 
     from hyssopway.agreement import Member
-    from hyssopway.control import AgreedClock, Outcome
+    from hyssopway.control import ClusterClock, Outcome
     from hyssopway.result import Failure
 
     from .replica import Replica
@@ -31,7 +31,7 @@
     __slots__ = ("agreed_clock", "member", "replica", "wall_ms")
 
     def __init__(
-        self, *, member: Member, replica: Replica, agreed_clock: AgreedClock, wall_ms: Callable[[], int]
+        self, *, member: Member, replica: Replica, agreed_clock: ClusterClock, wall_ms: Callable[[], int]
     ) -> None:
         self.member = member
         self.replica = replica
--- a/tests/control/test_agreed_clock.py
+++ b/tests/control/test_cluster_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hyssopway.control import AgreedClock
+from hyssopway.control import ClusterClock
 
 
 class FakeClock:
@@ -27,7 +27,7 @@
 def test_time_follows_monotonic_clock_and_never_goes_back(elapsed_s, applied_ms, expected_ms):
     """Guards against wall-clock steps that would end the time for which claims are kept."""
     clock = FakeClock()
-    agreed = AgreedClock(clock=clock)
+    agreed = ClusterClock(clock=clock)
     clock.now += elapsed_s
     assert agreed.read_ms(applied_ms=applied_ms) == expected_ms
     assert agreed.read_ms(applied_ms=0) == expected_ms
