--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_mover.py
@@ -7,7 +7,7 @@
 
 from hyssopway.clock import wall_ms
 from hyssopway.event import Event, log_event
-from hyssopway.workflow import NoteMachineOrders, RemoveVm
+from hyssopway.workflow import RecordMachineOrders, RemoveVm
 
 from .demand_forecast import DemandForecast
 from .machine_calls import MachineCallError, MachineOrderResult
@@ -124,7 +124,7 @@
         if not moves:
             return
         machine_ids = tuple(move.machine_id for move in moves)
-        await self.leadership.propose(NoteMachineOrders(machines=machine_ids, at_ms=wall_ms()))
+        await self.leadership.propose(RecordMachineOrders(machines=machine_ids, at_ms=wall_ms()))
         await asyncio.gather(*(self._move(move) for move in moves))
 
     def _describe(self, pool: str, *, load: PoolLoad) -> PoolDemand:
--- a/src/hyssopway/workflow/apply_fleet.py
+++ b/src/hyssopway/workflow/apply_fleet.py
@@ -14,8 +14,8 @@
     from .commands import (
         BeginMaintenance,
         ConfirmMaintenance,
-        NoteMachineOrders,
         PutDocument,
+        RecordMachineOrders,
         RegisterVm,
         RemoveVm,
         SetZoneEvacuated,
@@ -102,7 +102,7 @@
         wave.confirmed.add(command.machine)
 
 
-def note_machine_orders(tables: Tables, command: NoteMachineOrders) -> None:
+def record_machine_orders(tables: Tables, command: RecordMachineOrders) -> None:
     """Notes that machines are about to be ordered to move."""
     for machine in command.machines:
         tables.machine_orders[machine] = command.at_ms
@@ -118,8 +118,8 @@
 __all__ = [
     "begin_maintenance",
     "confirm_maintenance",
-    "note_machine_orders",
     "put_document",
+    "record_machine_orders",
     "register_vm",
     "remove_vm",
     "set_zone_evacuated",
--- a/src/hyssopway/workflow/commands.py
+++ b/src/hyssopway/workflow/commands.py
@@ -149,7 +149,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class NoteMachineOrders:
+class RecordMachineOrders:
     """Agrees that machines are about to be ordered to move, so that a successor leaves them alone for a while."""
 
     machines: tuple[str, ...]
@@ -178,7 +178,7 @@
     | StartWave
     | BeginMaintenance
     | ConfirmMaintenance
-    | NoteMachineOrders
+    | RecordMachineOrders
     | ForgetWorkflows
 )
 
@@ -191,8 +191,8 @@
     "ConfirmMaintenance",
     "EndRuns",
     "ForgetWorkflows",
-    "NoteMachineOrders",
     "PutDocument",
+    "RecordMachineOrders",
     "RegisterVm",
     "RemoveVm",
     "RunStart",
--- a/src/hyssopway/workflow/state.py
+++ b/src/hyssopway/workflow/state.py
@@ -19,8 +19,8 @@
     ConfirmMaintenance,
     EndRuns,
     ForgetWorkflows,
-    NoteMachineOrders,
     PutDocument,
+    RecordMachineOrders,
     RegisterVm,
     RemoveVm,
     SetZoneEvacuated,
@@ -123,8 +123,8 @@
                 apply_fleet.begin_maintenance(tables, command)
             case ConfirmMaintenance():
                 apply_fleet.confirm_maintenance(tables, command)
-            case NoteMachineOrders():
-                apply_fleet.note_machine_orders(tables, command)
+            case RecordMachineOrders():
+                apply_fleet.record_machine_orders(tables, command)
 
 
 __all__ = ["WorkflowState", "encode_command"]
--- a/tests/dispatch/test_machine_list.py
+++ b/tests/dispatch/test_machine_list.py
@@ -8,7 +8,7 @@
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineState
 from hyssopway.dispatch.machine_list import MachineList
-from hyssopway.workflow import NoteMachineOrders
+from hyssopway.workflow import RecordMachineOrders
 
 
 class FakeMachines:
@@ -26,8 +26,8 @@
 
 @pytest.fixture
 async def machines(leadership):
-    await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
-    await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
+    await leadership.propose(RecordMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
+    await leadership.propose(RecordMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineList(
         leadership=leadership, calls=FakeMachines(), turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
     )
@@ -46,7 +46,7 @@
 
 async def test_machine_that_is_not_up_waits_a_whole_turn(leadership):
     """Guards against counting the turn from an order that may have come just before the term."""
-    await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
+    await leadership.propose(RecordMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     calls = FakeMachines()
     calls.states["m1"] = MachineState.MOVING
     built = MachineList(
