--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -7,7 +7,7 @@
 
 from hyssopway.clock import wall_ms
 from hyssopway.event import Event, log_event
-from hyssopway.workflow import ForgetWorkflows, RegisterVm, RemoveVm
+from hyssopway.workflow import DeleteWorkflows, RegisterVm, RemoveVm
 
 from .advice_fetcher import AdviceFetcher
 from .answer_times import AnswerTimes
@@ -239,7 +239,7 @@
         workflows = self.leadership.state.tables.workflows
         expired = self.retention.find_expired(workflows, now=self.leadership.clock())
         if expired:
-            await self.leadership.propose(ForgetWorkflows(workflow_ids=expired))
+            await self.leadership.propose(DeleteWorkflows(workflow_ids=expired))
             log_event(Event.WORKFLOWS_FORGOTTEN, count=len(expired), left=len(workflows))
 
     async def _forget_silent(self) -> None:
--- a/src/hyssopway/workflow/apply_workflows.py
+++ b/src/hyssopway/workflow/apply_workflows.py
@@ -15,8 +15,8 @@
         AcceptWorkflow,
         AddOccurrence,
         CancelWorkflow,
+        DeleteWorkflows,
         EndRuns,
-        ForgetWorkflows,
         RunStart,
         StartRuns,
     )
@@ -56,7 +56,7 @@
         end_workflow(tables, indexes, workflow, status=WorkflowStatus.CANCELLED, at_ms=command.at_ms)
 
 
-def forget_workflows(tables: Tables, command: ForgetWorkflows) -> None:
+def delete_workflows(tables: Tables, command: DeleteWorkflows) -> None:
     """Removes workflows that have ended and of which nothing runs any more."""
     running = {TaskId.parse(task).workflow for task in tables.runs}
     for workflow_id in command.workflow_ids:
@@ -181,8 +181,8 @@
     "accept_workflow",
     "add_occurrence",
     "cancel_workflow",
+    "delete_workflows",
     "end_run",
     "end_runs",
-    "forget_workflows",
     "start_runs",
 ]
--- a/src/hyssopway/workflow/commands.py
+++ b/src/hyssopway/workflow/commands.py
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ForgetWorkflows:
+class DeleteWorkflows:
     """Removes workflows that ended long ago; one that has not ended or still has a run stays."""
 
     workflow_ids: tuple[str, ...]
@@ -179,7 +179,7 @@
     | BeginMaintenance
     | ConfirmMaintenance
     | RecordMachineOrders
-    | ForgetWorkflows
+    | DeleteWorkflows
 )
 
 __all__ = [
@@ -189,8 +189,8 @@
     "CancelWorkflow",
     "Command",
     "ConfirmMaintenance",
+    "DeleteWorkflows",
     "EndRuns",
-    "ForgetWorkflows",
     "PutDocument",
     "RecordMachineOrders",
     "RegisterVm",
--- a/src/hyssopway/workflow/state.py
+++ b/src/hyssopway/workflow/state.py
@@ -17,8 +17,8 @@
     CancelWorkflow,
     Command,
     ConfirmMaintenance,
+    DeleteWorkflows,
     EndRuns,
-    ForgetWorkflows,
     PutDocument,
     RecordMachineOrders,
     RegisterVm,
@@ -107,8 +107,8 @@
                 apply_workflows.add_occurrence(tables, command)
             case CancelWorkflow():
                 apply_workflows.cancel_workflow(tables, indexes, command)
-            case ForgetWorkflows():
-                apply_workflows.forget_workflows(tables, command)
+            case DeleteWorkflows():
+                apply_workflows.delete_workflows(tables, command)
             case RegisterVm():
                 apply_fleet.register_vm(tables, indexes, command)
             case RemoveVm():
--- a/tests/workflow/test_state.py
+++ b/tests/workflow/test_state.py
@@ -7,8 +7,8 @@
 from hyssopway.workflow import (
     AddOccurrence,
     CancelWorkflow,
+    DeleteWorkflows,
     EndRuns,
-    ForgetWorkflows,
     PutDocument,
     RemoveVm,
     RunEnd,
@@ -69,10 +69,10 @@
         end(log, task, RunOutcome.DONE)
     start(log, "running.0.0.0")
     log.apply(CancelWorkflow(workflow_id="running", at_ms=5))
-    log.apply(ForgetWorkflows(workflow_ids=("done", "open", "running", "unknown")))
+    log.apply(DeleteWorkflows(workflow_ids=("done", "open", "running", "unknown")))
     assert set(log.state.tables.workflows) == {"open", "running"}
     end(log, "running.0.0.0", RunOutcome.STOPPED)
-    log.apply(ForgetWorkflows(workflow_ids=("running",)))
+    log.apply(DeleteWorkflows(workflow_ids=("running",)))
     assert set(log.state.tables.workflows) == {"open"}
 
 
