--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -211,7 +211,7 @@
                 continue
             if record.draining or record.zone in tables.evacuated or vm_id in self.closed_vms:
                 continue
-            use = self.leadership.state.indexes.vm_use.get(vm_id)
+            use = self.leadership.state.indexes.vm_usage.get(vm_id)
             rooms.setdefault(record.pool, []).append(
                 _describe_room(record, use=use, failures=link.failures, is_due=vm_id in self.due_vms)
             )
@@ -233,7 +233,7 @@
         team = indexes.teams.get(ready.workflow.team)
         if team is None:
             return True
-        use = indexes.team_use.get(team.name)
+        use = indexes.team_usage.get(team.name)
         taken = self.taken.setdefault(team.name, [0, 0, 0])
         step = ready.step
         wanted = [
--- a/src/hyssopway/dispatch/waves.py
+++ b/src/hyssopway/dispatch/waves.py
@@ -134,7 +134,7 @@
 
     def _close_more(self, wave: WaveRecord) -> None:
         tables = self.leadership.state.tables
-        use = self.leadership.state.indexes.vm_use
+        use = self.leadership.state.indexes.vm_usage
         waiting = self.emptying.dispatcher.waiting_millis
         pending = [
             machine
--- a/src/hyssopway/workflow/indexes.py
+++ b/src/hyssopway/workflow/indexes.py
@@ -66,18 +66,18 @@
         "queues",
         "queues_by_host",
         "team_by_key",
-        "team_use",
+        "team_usage",
         "teams",
         "unwanted",
-        "vm_use",
+        "vm_usage",
     )
 
     def __init__(self, tables: Tables) -> None:
         self.open_workflows: dict[str, None] = {
             key: None for key, workflow in tables.workflows.items() if not workflow.status.is_final
         }
-        self.team_use: dict[str, Usage] = {}
-        self.vm_use: dict[str, Usage] = {}
+        self.team_usage: dict[str, Usage] = {}
+        self.vm_usage: dict[str, Usage] = {}
         self.unwanted: dict[str, str] = {}
         self.queues: dict[str, Queue] = {}
         self.queues_by_host: dict[str, list[Queue]] = {}
@@ -105,18 +105,18 @@
         task = TaskId.parse(run.task)
         workflow = tables.workflows[task.workflow]
         step = workflow.spec.steps[task.step]
-        self.team_use.setdefault(workflow.team, Usage()).add(step, sign=sign)
-        vm_use = self.vm_use.setdefault(run.vm, Usage())
-        vm_use.add(step, sign=sign)
+        self.team_usage.setdefault(workflow.team, Usage()).add(step, sign=sign)
+        vm_usage = self.vm_usage.setdefault(run.vm, Usage())
+        vm_usage.add(step, sign=sign)
         if step.fills:
-            vm_use.cpu_millis -= sign * step.cpu_millis
+            vm_usage.cpu_millis -= sign * step.cpu_millis
 
     def fits_limit(self, *, workflow: Workflow, step: Step) -> bool:
         """Tells whether one more run of a step stays within the upper limit of its team."""
         team = self.teams.get(workflow.team)
         if team is None:
             return True
-        use = self.team_use.get(workflow.team)
+        use = self.team_usage.get(workflow.team)
         if use is None:
             use = Usage()
         limit = team.upper_limit
--- a/tests/workflow/test_state.py
+++ b/tests/workflow/test_state.py
@@ -258,8 +258,8 @@
     restored.restore_snapshot(log.state.encode_snapshot())
     assert restored.tables == log.state.tables
     assert restored.indexes.unwanted == log.state.indexes.unwanted
-    assert restored.indexes.team_use["pantry"].cpu_millis == 1000
-    assert restored.indexes.vm_use["vm-1"].cpu_millis == 1000
+    assert restored.indexes.team_usage["pantry"].cpu_millis == 1000
+    assert restored.indexes.vm_usage["vm-1"].cpu_millis == 1000
     assert restored.indexes.team_by_key == {"key-1": "pantry"}
 
 
