--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -88,7 +88,7 @@
         await asyncio.sleep(ROUND_PAUSE_S)
 
     def _stop_unwanted(self) -> None:
-        for key, vm in list(self.leadership.state.indexes.unwanted.items()):
+        for key, vm in list(self.leadership.state.indexes.runs_to_stop.items()):
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
--- a/src/hyssopway/workflow/apply_workflows.py
+++ b/src/hyssopway/workflow/apply_workflows.py
@@ -76,7 +76,7 @@
         for step, progress in enumerate(steps):
             for index in range(len(progress.done)):
                 task = TaskId(workflow.workflow_id, occurrence, step, index)
-                _mark_unwanted(tables, indexes, task=task.name)
+                _mark_runs_to_stop(tables, indexes, task=task.name)
 
 
 def start_runs(tables: Tables, indexes: Indexes, command: StartRuns) -> None:
@@ -107,7 +107,7 @@
     record = tables.vms.get(vm)
     if record is not None:
         record.runs.discard(run.key)
-    indexes.unwanted.pop(run.key, None)
+    indexes.runs_to_stop.pop(run.key, None)
     _take_outcome(tables, indexes, end=end, is_last=not runs, at_ms=at_ms)
 
 
@@ -164,7 +164,7 @@
     progress.pending.discard(task.number)
     progress.saved.pop(task.number, None)
     progress.open_count -= 1
-    _mark_unwanted(tables, indexes, task=task.name)
+    _mark_runs_to_stop(tables, indexes, task=task.name)
     if any(step.open_count for step in workflow.progress[task.occurrence]):
         return
     workflow.occurrences_done += 1
@@ -172,9 +172,9 @@
         end_workflow(tables, indexes, workflow, status=WorkflowStatus.COMPLETED, at_ms=at_ms)
 
 
-def _mark_unwanted(tables: Tables, indexes: Indexes, *, task: str) -> None:
+def _mark_runs_to_stop(tables: Tables, indexes: Indexes, *, task: str) -> None:
     for run in tables.runs.get(task, ()):
-        indexes.unwanted[run.key] = run.vm
+        indexes.runs_to_stop[run.key] = run.vm
 
 
 __all__ = [
--- a/src/hyssopway/workflow/indexes.py
+++ b/src/hyssopway/workflow/indexes.py
@@ -65,10 +65,10 @@
         "open_workflows",
         "queues",
         "queues_by_host",
+        "runs_to_stop",
         "team_by_key",
         "team_usage",
         "teams",
-        "unwanted",
         "vm_usage",
     )
 
@@ -78,7 +78,7 @@
         }
         self.team_usage: dict[str, Usage] = {}
         self.vm_usage: dict[str, Usage] = {}
-        self.unwanted: dict[str, str] = {}
+        self.runs_to_stop: dict[str, str] = {}
         self.queues: dict[str, Queue] = {}
         self.queues_by_host: dict[str, list[Queue]] = {}
         self.teams: dict[str, TeamPolicy] = {}
@@ -88,8 +88,8 @@
         for runs in tables.runs.values():
             for run in runs:
                 self.count_run(tables=tables, run=run, sign=1)
-                if is_unwanted(tables, run):
-                    self.unwanted[run.key] = run.vm
+                if should_stop(tables, run):
+                    self.runs_to_stop[run.key] = run.vm
 
     def take_document(self, document: FleetDocument) -> None:
         """Indexes a new configuration."""
@@ -134,11 +134,11 @@
         return None
 
 
-def is_unwanted(tables: Tables, run: ActiveRun) -> bool:
+def should_stop(tables: Tables, run: ActiveRun) -> bool:
     """Tells whether a run in progress serves nothing any more."""
     task = TaskId.parse(run.task)
     workflow = tables.workflows[task.workflow]
     return workflow.status.is_final or workflow.progress[task.occurrence][task.step].done[task.number]
 
 
-__all__ = ["Indexes", "Usage", "is_unwanted"]
+__all__ = ["Indexes", "Usage", "should_stop"]
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_holder_machine.py
@@ -101,7 +101,7 @@
     def stop_unwanted(self, fate):
         """Stops what serves nothing any more."""
         self.network.fate = fate
-        self.run(self.stop_runs(self.leader.state.indexes.unwanted))
+        self.run(self.stop_runs(self.leader.state.indexes.runs_to_stop))
         self.network.fate = "deliver"
 
     @rule(name=st.sampled_from(VMS), fate=FATES)
--- a/tests/workflow/test_state.py
+++ b/tests/workflow/test_state.py
@@ -212,9 +212,9 @@
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     log.apply(CancelWorkflow(workflow_id="w", at_ms=1))
-    assert log.state.indexes.unwanted == {"w.0.0.0/1": "vm-1"}
+    assert log.state.indexes.runs_to_stop == {"w.0.0.0/1": "vm-1"}
     end(log, "w.0.0.0", RunOutcome.STOPPED)
-    assert not log.state.indexes.unwanted
+    assert not log.state.indexes.runs_to_stop
 
 
 def test_second_copy_of_a_done_task_is_unwanted(log):
@@ -223,7 +223,7 @@
     start(log, "w.0.0.0", run=1)
     start(log, "w.0.0.0", run=2, vm="vm-2")
     end(log, "w.0.0.0", RunOutcome.DONE, run=2, vm="vm-2")
-    assert log.state.indexes.unwanted == {"w.0.0.0/1": "vm-1"}
+    assert log.state.indexes.runs_to_stop == {"w.0.0.0/1": "vm-1"}
     end(log, "w.0.0.0", RunOutcome.DONE, run=1)
     assert log.state.tables.workflows["w"].occurrences_done == 1
 
@@ -257,7 +257,7 @@
     restored = WorkflowState()
     restored.restore_snapshot(log.state.encode_snapshot())
     assert restored.tables == log.state.tables
-    assert restored.indexes.unwanted == log.state.indexes.unwanted
+    assert restored.indexes.runs_to_stop == log.state.indexes.runs_to_stop
     assert restored.indexes.team_usage["pantry"].cpu_millis == 1000
     assert restored.indexes.vm_usage["vm-1"].cpu_millis == 1000
     assert restored.indexes.team_by_key == {"key-1": "pantry"}
