--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -263,8 +263,8 @@
         cpu_millis=capacity.cpu_millis - (use.cpu_millis if use else 0),
         memory_mb=capacity.memory_mb - (use.memory_mb if use else 0),
         accelerators=capacity.accelerators - (use.accelerators if use else 0),
-        serving=use.serving if use else 0,
-        filling=use.filling if use else 0,
+        serving=use.latency_bound if use else 0,
+        filling=use.best_effort if use else 0,
         suspicion=min(failures, MAX_SUSPICION),
         is_due=is_due,
     )
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -40,7 +40,7 @@
     def follow(self, rows: dict[str, RunningRow], *, now: float) -> None:
         """Takes in a listing of the VM's runs and orders the pace of those that fill."""
         use = self.leadership.state.indexes.vm_usage.get(self.orders.vm_id)
-        if use is None or not use.filling:
+        if use is None or not use.best_effort:
             return
         steps = {key: step for key, row in rows.items() if (step := self._find_step(row)) is not None}
         filling = [key for key, step in steps.items() if step.fills]
--- a/src/hyssopway/workflow/indexes.py
+++ b/src/hyssopway/workflow/indexes.py
@@ -27,14 +27,14 @@
         filling: Runs that use only the processor that others leave.
     """
 
-    __slots__ = ("accelerators", "cpu_millis", "filling", "memory_mb", "serving")
+    __slots__ = ("accelerators", "best_effort", "cpu_millis", "latency_bound", "memory_mb")
 
     def __init__(self) -> None:
         self.cpu_millis = 0
         self.memory_mb = 0
         self.accelerators = 0
-        self.serving = 0
-        self.filling = 0
+        self.latency_bound = 0
+        self.best_effort = 0
 
     def add(self, step: Step, *, sign: int) -> None:
         """Counts a run of a step, or takes it out with a negative sign."""
@@ -42,9 +42,9 @@
         self.memory_mb += sign * step.memory_mb
         self.accelerators += sign * step.accelerators
         if step.fills:
-            self.filling += sign
+            self.best_effort += sign
         elif step.target_ms:
-            self.serving += sign
+            self.latency_bound += sign
 
 
 class Indexes:
