--- a/src/hyssopway/control/__init__.py
+++ b/src/hyssopway/control/__init__.py
@@ -10,7 +10,7 @@
     encode_command,
     encode_envelope,
     encode_outcome,
-    seal_command,
+    wrap_command,
 )
 from .envelope import Envelope
 from .outcome import Outcome
@@ -27,5 +27,5 @@
     "encode_command",
     "encode_envelope",
     "encode_outcome",
-    "seal_command",
+    "wrap_command",
 ]
--- a/src/hyssopway/control/codec.py
+++ b/src/hyssopway/control/codec.py
@@ -35,7 +35,7 @@
     return _COMMAND.dump_json(command)
 
 
-def seal_command(command: bytes, *, at_ms: int, wall_ms: int) -> bytes:
+def wrap_command(command: bytes, *, at_ms: int, wall_ms: int) -> bytes:
     """Makes a log entry of an encoded command after checking it.
 
     Raises:
@@ -68,5 +68,5 @@
     "encode_envelope",
     "encode_outcome",
     "fingerprint",
-    "seal_command",
+    "wrap_command",
 ]
--- a/src/hyssopway/replica/proposer.py
+++ b/src/hyssopway/replica/proposer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.control import seal_command
+from hyssopway.control import wrap_command
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -48,7 +48,7 @@
         Raises:
             ValueError: The bytes are not a command of this release.
         """
-        data = seal_command(command, at_ms=self.now_ms(), wall_ms=self.wall_ms())
+        data = wrap_command(command, at_ms=self.now_ms(), wall_ms=self.wall_ms())
         return await self.member.propose(data=data, timeout_s=timeout_s)
 
 
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_unordered_runs.py
@@ -8,7 +8,7 @@
 import pytest
 from expression import Error, Ok
 
-from hyssopway.control import seal_command
+from hyssopway.control import wrap_command
 from hyssopway.control.record import JobStatus
 from hyssopway.job import LostHomes, UnorderedRuns
 from hyssopway.job.lost_homes import SILENT_S
@@ -39,7 +39,7 @@
         if self.unknown:
             return Error(Failure(code=ResultCode.OUTCOME_UNKNOWN, message="no quorum"))
         replica = self.submitter.replica
-        data = seal_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
+        data = wrap_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
         return Ok(replica.apply(index=replica.applied_index + 1, data=data))
 
 
