--- a/src/hyssopway/control/apply/jobs.py
+++ b/src/hyssopway/control/apply/jobs.py
@@ -105,7 +105,7 @@
         return f"pool {command.spec.pool!r} is not in the production document"
     if not command.spec.resources.fits_in(team.limit) or team.max_running == 0:
         return f"the job alone exceeds the upper limit of team {team.name}"
-    if state.indexes.shapes.exceeds_all(pool=command.spec.pool, need=command.spec.resources):
+    if state.indexes.shapes.exceeds_every_vm(pool=command.spec.pool, need=command.spec.resources):
         return f"the job is bigger than every VM of pool {command.spec.pool}"
     return ""
 
--- a/src/hyssopway/control/indexes.py
+++ b/src/hyssopway/control/indexes.py
@@ -37,13 +37,13 @@
     running: dict[str, set[str]] = field(default_factory=dict)
     usage: dict[str, TeamUsage] = field(default_factory=dict)
     shapes: PoolShapes = field(default_factory=PoolShapes)
-    touched: list[str] = field(default_factory=list)
+    affected_vms: list[str] = field(default_factory=list)
     feed: ChangeFeed = field(default_factory=ChangeFeed)
 
     def note(self, command: Command, *, tables: Tables) -> None:
         """Follows an applied command."""
         self.feed.note(command)
-        self.touched = _find_touched(command, tables=tables)
+        self.affected_vms = _find_affected_vms(command, tables=tables)
         if isinstance(command, RegisterVm | MoveVm):
             self.shapes.update(tables.vms[command.vm])
 
@@ -70,7 +70,7 @@
                 self.add_run(job=job, vm=job.run.vm)
 
 
-def _find_touched(command: Command, *, tables: Tables) -> list[str]:
+def _find_affected_vms(command: Command, *, tables: Tables) -> list[str]:
     ids = command.job_ids if isinstance(command, CancelJobs) else [getattr(command, "job_id", "")]
     jobs = [tables.jobs[job_id] for job_id in ids if job_id in tables.jobs]
     vms = [job.run.vm for job in jobs if job.run is not None]
--- a/src/hyssopway/control/pool_shapes.py
+++ b/src/hyssopway/control/pool_shapes.py
@@ -41,7 +41,7 @@
         for vm in vms:
             self.update(vm)
 
-    def exceeds_all(self, *, pool: str, need: Resources) -> bool:
+    def exceeds_every_vm(self, *, pool: str, need: Resources) -> bool:
         """Tells whether a pool has VMs and none of them could ever hold the need."""
         shapes = self.counts.get(pool)
         return bool(shapes) and not any(need.fits_in(shape) for shape in shapes or ())
--- a/src/hyssopway/job/planner.py
+++ b/src/hyssopway/job/planner.py
@@ -274,7 +274,7 @@
             return f"team {key.team} is no longer in the production document"
         if document.pool(name=key.pool) is None:
             return f"pool {key.pool} is no longer in the production document"
-        if self.state.indexes.shapes.exceeds_all(pool=key.pool, need=key.resources):
+        if self.state.indexes.shapes.exceeds_every_vm(pool=key.pool, need=key.resources):
             return f"the job is bigger than every VM of pool {key.pool}"
         return ""
 
