--- a/src/hyssopway/control/apply/waves.py
+++ b/src/hyssopway/control/apply/waves.py
@@ -30,8 +30,8 @@
     WaveVmStatus.REBOOTING: {WaveVmStatus.DONE, WaveVmStatus.LOST},
     WaveVmStatus.LOST: {WaveVmStatus.REPLACED},
 }
-OPEN = (WaveVmStatus.WAITING, WaveVmStatus.DRAINING, WaveVmStatus.REBOOTING)
-LOST = (WaveVmStatus.LOST, WaveVmStatus.REPLACED)
+UNFINISHED_STATUSES = (WaveVmStatus.WAITING, WaveVmStatus.DRAINING, WaveVmStatus.REBOOTING)
+LOST_STATUSES = (WaveVmStatus.LOST, WaveVmStatus.REPLACED)
 ACTIONS = {
     (WaveStatus.RUNNING, WaveAction.PAUSE): WaveStatus.PAUSED,
     (WaveStatus.PAUSED, WaveAction.RESUME): WaveStatus.RUNNING,
@@ -43,7 +43,7 @@
 def start_wave(state: ControlState, command: StartWave) -> Result[Change, Failure]:
     """Starts a wave unless another one still has work to do."""
     for wave in state.tables.waves.values():
-        if is_under_way(wave):
+        if is_active(wave):
             return refuse(ResultCode.WAVE_CONFLICT, f"{wave.wave_id} is {wave.status} and not finished")
     document = state.document()
     for pool in command.pools:
@@ -101,21 +101,21 @@
     progress.status = command.status
     progress.changed_ms = state.tables.now_ms
     progress.reason = command.reason
-    if wave.status is WaveStatus.RUNNING and not wave.count(*OPEN):
+    if wave.status is WaveStatus.RUNNING and not wave.count(*UNFINISHED_STATUSES):
         _set_status(wave, status=WaveStatus.DONE, reason="every VM was visited")
     return Ok(Change(generation=vm.epoch, reference=vm.name))
 
 
-def is_under_way(wave: Wave) -> bool:
+def is_active(wave: Wave) -> bool:
     """Tells whether a wave may still stop or has stopped VMs."""
-    return wave.status in (WaveStatus.RUNNING, WaveStatus.PAUSED) or bool(wave.count(*OPEN))
+    return wave.status in (WaveStatus.RUNNING, WaveStatus.PAUSED) or bool(wave.count(*UNFINISHED_STATUSES))
 
 
 def count_lost(state: ControlState, *, wave: Wave) -> int:
     """Counts VMs that did not return, or returned and are down or quarantined by now."""
     failed = (VmState.DOWN, VmState.QUARANTINED)
     done = wave.select(WaveVmStatus.DONE)
-    return wave.count(*LOST) + sum(state.tables.vms[name].state in failed for name in done)
+    return wave.count(*LOST_STATUSES) + sum(state.tables.vms[name].state in failed for name in done)
 
 
 def _set_status(wave: Wave, *, status: WaveStatus, reason: str) -> None:
@@ -195,18 +195,20 @@
     Work placed on the VM would be cut off by it. A new worker process shows that the reboot is over.
     """
     return any(
-        vm.name in wave.vms and wave.vms[vm.name].status in LOST and wave.vms[vm.name].boot_id == vm.boot_id
+        vm.name in wave.vms
+        and wave.vms[vm.name].status in LOST_STATUSES
+        and wave.vms[vm.name].boot_id == vm.boot_id
         for wave in state.tables.waves.values()
     )
 
 
 __all__ = [
-    "LOST",
-    "OPEN",
+    "LOST_STATUSES",
+    "UNFINISHED_STATUSES",
     "advance_wave",
     "control_wave",
     "count_lost",
-    "is_under_way",
+    "is_active",
     "may_still_reboot",
     "start_wave",
 ]
--- a/src/hyssopway/daemon/fleet_status.py
+++ b/src/hyssopway/daemon/fleet_status.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.record import ZoneStatus
 from hyssopway.fleet.drains import find_overdue
 
@@ -25,7 +25,7 @@
                 "progress": Counter(vm.status.value for vm in wave.vms.values()),
             }
             for wave in tables.waves.values()
-            if is_under_way(wave)
+            if is_active(wave)
         ],
         "permits": Counter(permit.purpose.value for permit in tables.permits.values()),
         "zones_out": [
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from hyssopway.control.apply.budgets import find_broken
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
     ChangeVm,
@@ -194,7 +194,7 @@
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
-            if is_under_way(wave) and (late_ms := find_late_ms(state, wave=wave, now_ms=self.now_ms()))
+            if is_active(wave) and (late_ms := find_late_ms(state, wave=wave, now_ms=self.now_ms()))
         }
         for wave_id in sorted(late.keys() - self.late):
             question = (
--- a/src/hyssopway/fleet/lending.py
+++ b/src/hyssopway/fleet/lending.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from hyssopway.control.apply.budgets import find_broken, find_excess
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import TakePermit
 from hyssopway.control.record import PermitPurpose, VmState, ZoneStatus
 
@@ -60,7 +60,7 @@
 def _is_reserved(state: ControlState) -> bool:
     tables = state.tables
     return (
-        any(is_under_way(wave) for wave in tables.waves.values())
+        any(is_active(wave) for wave in tables.waves.values())
         or any(zone.status is not ZoneStatus.OPEN for zone in tables.zones.values())
         or any(permit.holder == HOLDER for permit in tables.permits.values())
         or bool(find_broken(state))
--- a/src/hyssopway/fleet/waves.py
+++ b/src/hyssopway/fleet/waves.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.waves import LOST, OPEN, count_lost, is_under_way
+from hyssopway.control.apply.waves import LOST_STATUSES, UNFINISHED_STATUSES, count_lost, is_active
 from hyssopway.control.command import AdvanceWave, ControlWave, WaveAction
 from hyssopway.control.record import VmState, WaveStatus, WaveVmStatus
 from hyssopway.document import MaintenancePolicy
@@ -36,7 +36,7 @@
     """
     steps: list[WaveStep] = []
     for wave in state.tables.waves.values():
-        if is_under_way(wave):
+        if is_active(wave):
             steps += _decide_wave(state, wave=wave, now_ms=now_ms, returned=returned)
         steps += _replace_lost(state, wave=wave)
     return steps
@@ -83,7 +83,9 @@
     failed = _find_failed_canary(state, wave=wave, canaries=policy.canaries)
     if failed and lost > wave.lost_accepted:
         return f"canary {failed} fails after its reboot"
-    racks = Counter((state.tables.vms[name].zone, state.tables.vms[name].rack) for name in wave.select(*LOST))
+    racks = Counter(
+        (state.tables.vms[name].zone, state.tables.vms[name].rack) for name in wave.select(*LOST_STATUSES)
+    )
     for (zone, rack), count in racks.items():
         if count > MAX_LOST_PER_RACK and lost > wave.lost_accepted:
             return f"{count} VMs lost in rack {rack} of zone {zone}"
@@ -106,7 +108,7 @@
         if vm.pool not in pools:
             reason = f"pool {vm.pool} is not in the document"
             yield _step(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason=reason)
-    left = [state.tables.vms[name] for name in wave.select(*OPEN)]
+    left = [state.tables.vms[name] for name in wave.select(*UNFINISHED_STATUSES)]
     if all(vm.state is VmState.DOWN for vm in left):
         for vm in left:
             if wave.vms[vm.name].status is WaveVmStatus.WAITING:
--- a/src/hyssopway/operator_api/wave_routes.py
+++ b/src/hyssopway/operator_api/wave_routes.py
@@ -7,7 +7,7 @@
 
 from pydantic import TypeAdapter
 
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import ControlWave, StartWave, WaveAction
 from hyssopway.fleet.wave_order import find_due_ms, find_late_ms, forecast_end_ms
 from hyssopway.http import failure_response, json_response
@@ -81,7 +81,7 @@
         return json_response(self._summarise(wave) | {"vms": wave.vms})
 
     def _summarise(self, wave: Wave) -> dict[str, Any]:
-        end_ms = forecast_end_ms(wave, now_ms=self.now_ms()) if is_under_way(wave) else None
+        end_ms = forecast_end_ms(wave, now_ms=self.now_ms()) if is_active(wave) else None
         return {
             "wave": wave.wave_id,
             "operator": wave.operator,
@@ -93,7 +93,7 @@
             "forecast_end_ms": end_ms,
             "due_ms": find_due_ms(self.replica.state, wave=wave),
             "late_ms": find_late_ms(self.replica.state, wave=wave, now_ms=self.now_ms())
-            if is_under_way(wave)
+            if is_active(wave)
             else 0,
         }
 
--- a/tests/control/test_fleet_machine.py
+++ b/tests/control/test_fleet_machine.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from small_fleet import BUDGET, small_fleet
 
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
     ChangeVm,
@@ -140,7 +140,7 @@
     def start_wave(self, pools):
         """An operator starts a wave."""
         waves = self.agreed.state.tables.waves
-        busy = any(is_under_way(wave) for wave in waves.values())
+        busy = any(is_active(wave) for wave in waves.values())
         index = self.agreed.state.applied_index
         command = StartWave(pools=pools, request_id=f"w{index}", operator="kim")
         assert (self.agreed.apply(command).failure is None) == (not busy)
@@ -214,7 +214,7 @@
         held = {(p.holder, p.vm) for p in permits if p.purpose is PermitPurpose.MAINTENANCE}
         assert held == steps
         for wave in tables.waves.values():
-            assert wave.status is not WaveStatus.DONE or not is_under_way(wave)
+            assert wave.status is not WaveStatus.DONE or not is_active(wave)
 
     @invariant()
     def stopped_vm_has_a_permit(self):
