--- a/src/hyssopway/control/apply/budgets.py
+++ b/src/hyssopway/control/apply/budgets.py
@@ -13,7 +13,7 @@
     from hyssopway.document import Budget, EnvironmentDocument
 
 
-def find_excess(state: ControlState, *, vm: Vm, purpose: PermitPurpose) -> str:
+def find_exhausted_budget(state: ControlState, *, vm: Vm, purpose: PermitPurpose) -> str:
     """Says which budget one more stopped VM would exceed; empty when none."""
     document = state.document()
     if document is None or document.pool(name=vm.pool) is None:
@@ -22,13 +22,13 @@
     down = [other for other in state.tables.vms.values() if other.pool == vm.pool and _is_down(other)]
     others = [other for other in down if other.name != vm.name]
     for owner, budget in list_budgets(document, pool=vm.pool):
-        excess = _compare(owner=owner, budget=budget, others=others, vm=vm, purpose=purpose)
+        excess = _find_exhausted_limit(owner=owner, budget=budget, others=others, vm=vm, purpose=purpose)
         if excess:
             return excess
     return ""
 
 
-def find_broken(state: ControlState) -> str:
+def find_broken_budget(state: ControlState) -> str:
     """Says which budget is exceeded by failures alone; empty when none."""
     document = state.document()
     if document is None:
@@ -39,7 +39,7 @@
             failed.setdefault(vm.pool, []).append(vm)
     for pool, vms in failed.items():
         for owner, budget in list_budgets(document, pool=pool):
-            broken = _find_broken(state, owner=owner, budget=budget, failed=vms)
+            broken = _find_broken_limit(state, owner=owner, budget=budget, failed=vms)
             if broken:
                 return broken
     return ""
@@ -55,7 +55,9 @@
     ]
 
 
-def _compare(*, owner: str, budget: Budget, others: list[Vm], vm: Vm, purpose: PermitPurpose) -> str:
+def _find_exhausted_limit(
+    *, owner: str, budget: Budget, others: list[Vm], vm: Vm, purpose: PermitPurpose
+) -> str:
     in_rack = sum((other.zone, other.rack) == (vm.zone, vm.rack) for other in others)
     in_zone = sum(other.zone == vm.zone for other in others)
     if len(others) >= budget.max_down:
@@ -70,7 +72,7 @@
     return ""
 
 
-def _find_broken(state: ControlState, *, owner: str, budget: Budget, failed: list[Vm]) -> str:
+def _find_broken_limit(state: ControlState, *, owner: str, budget: Budget, failed: list[Vm]) -> str:
     if len(failed) > budget.max_down:
         return f"{owner} allows {budget.max_down} VMs down, {len(failed)} failed"
     # Budgets do not limit one rack or zone while the zone is withdrawn.
@@ -89,4 +91,4 @@
     return vm.state is not VmState.READY
 
 
-__all__ = ["find_broken", "find_excess", "list_budgets"]
+__all__ = ["find_broken_budget", "find_exhausted_budget", "list_budgets"]
--- a/src/hyssopway/control/apply/permits.py
+++ b/src/hyssopway/control/apply/permits.py
@@ -10,7 +10,7 @@
 from hyssopway.control.record import Permit, PermitPurpose, VmState, ZoneStatus
 from hyssopway.result import ResultCode
 
-from .budgets import find_broken, find_excess
+from .budgets import find_broken_budget, find_exhausted_budget
 from .refusal import refuse
 
 if TYPE_CHECKING:
@@ -87,13 +87,13 @@
 
 
 def _check_budgets(state: ControlState, *, vm: Vm, purpose: PermitPurpose) -> Result[Change, Failure] | None:
-    broken = find_broken(state)
+    broken = find_broken_budget(state)
     if broken:
         return refuse(
             ResultCode.BUDGET_BROKEN, f"no planned stop while failures alone exceed a budget: {broken}"
         )
-    excess = find_excess(state, vm=vm, purpose=purpose)
+    excess = find_exhausted_budget(state, vm=vm, purpose=purpose)
     return refuse(ResultCode.BUDGET_EXHAUSTED, excess) if excess else None
 
 
-__all__ = ["find_excess", "is_for_move", "return_permit", "take_permit"]
+__all__ = ["find_exhausted_budget", "is_for_move", "return_permit", "take_permit"]
--- a/src/hyssopway/control/apply/vms.py
+++ b/src/hyssopway/control/apply/vms.py
@@ -11,7 +11,7 @@
 from hyssopway.control.record import PermitPurpose, Vm, VmState
 from hyssopway.result import ResultCode
 
-from .permits import find_excess, is_for_move
+from .permits import find_exhausted_budget, is_for_move
 from .refusal import refuse
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
         return refuse(ResultCode.UNKNOWN_POOL, f"pool {command.target!r} is not in the production document")
     if vm.state is not VmState.DRAINED or state.indexes.running.get(vm.name):
         return refuse(ResultCode.VM_NOT_EMPTY, f"VM {vm.name} is {vm.state}; drain it before a move")
-    excess = _find_target_excess(state, vm=vm, target=command.target)
+    excess = _find_exhausted_target_budget(state, vm=vm, target=command.target)
     if excess:
         return refuse(ResultCode.BUDGET_EXHAUSTED, excess)
     _note_move(state, vm=vm, target=command.target)
@@ -104,13 +104,13 @@
     vm.moved_from = "" if is_back or not holder else vm.pool
 
 
-def _find_target_excess(state: ControlState, *, vm: Vm, target: str) -> str:
+def _find_exhausted_target_budget(state: ControlState, *, vm: Vm, target: str) -> str:
     """Says which budget of the target pool a VM would exceed that stays down after its move."""
     if is_for_move(state, vm=vm):
         return ""
     permit = state.tables.permits.get(vm.name)
     purpose = permit.purpose if permit else PermitPurpose.MOVE
-    return find_excess(state, vm=replace(vm, pool=target), purpose=purpose)
+    return find_exhausted_budget(state, vm=replace(vm, pool=target), purpose=purpose)
 
 
 def _add_vm(state: ControlState, command: RegisterVm) -> Result[Change, Failure]:
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken
+from hyssopway.control.apply.budgets import find_broken_budget
 from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
@@ -205,7 +205,7 @@
         self.late = set(late)
 
     def _report_broken(self) -> None:
-        broken = find_broken(self.replica.state)
+        broken = find_broken_budget(self.replica.state)
         if broken and broken != self.broken:
             log_event(Event.BUDGET_BROKEN, reason=broken)
         if self.broken and not broken:
--- a/src/hyssopway/fleet/lending.py
+++ b/src/hyssopway/fleet/lending.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken, find_excess
+from hyssopway.control.apply.budgets import find_broken_budget, find_exhausted_budget
 from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import TakePermit
 from hyssopway.control.record import PermitPurpose, VmState, ZoneStatus
@@ -63,7 +63,7 @@
         any(is_active(wave) for wave in tables.waves.values())
         or any(zone.status is not ZoneStatus.OPEN for zone in tables.zones.values())
         or any(permit.holder == HOLDER for permit in tables.permits.values())
-        or bool(find_broken(state))
+        or bool(find_broken_budget(state))
     )
 
 
@@ -114,7 +114,7 @@
             target=target,
         )
         for vm in vms[:MAX_TRIES]
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE)
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MOVE)
     )
 
 
--- a/src/hyssopway/fleet/wave_order.py
+++ b/src/hyssopway/fleet/wave_order.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken, find_excess
+from hyssopway.control.apply.budgets import find_broken_budget, find_exhausted_budget
 from hyssopway.control.record import PermitPurpose, VmState, WaveVmStatus, ZoneStatus
 from hyssopway.document import MaintenancePolicy
 
@@ -23,7 +23,7 @@
 
 def choose_next(state: ControlState, *, wave: Wave, now_ms: int) -> list[Vm]:
     """Returns at most one VM for each pool, since one permit changes what the next may take."""
-    if find_broken(state):
+    if find_broken_budget(state):
         return []
     document = state.document()
     policy = document.maintenance if document else MaintenancePolicy()
@@ -103,7 +103,7 @@
         if tries.get(vm.pool, 0) >= MAX_TRIES_PER_POOL:
             continue
         tries[vm.pool] = tries.get(vm.pool, 0) + 1
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MAINTENANCE):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MAINTENANCE):
             tries[vm.pool] = MAX_TRIES_PER_POOL
             yield vm
 
--- a/src/hyssopway/fleet/zone_report.py
+++ b/src/hyssopway/fleet/zone_report.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from hyssopway.control.apply.budgets import find_broken, list_budgets
+from hyssopway.control.apply.budgets import find_broken_budget, list_budgets
 from hyssopway.control.record import VmState
 
 from .zone_steps import count_missing, list_spares
@@ -35,7 +35,7 @@
         "jobs": _report_jobs(state, vms=vms),
         "missing_vms": missing,
         "spare_vms": [vm.name for vm in list_spares(state, outside=zone)],
-        "stopped_by_failures": find_broken(state),
+        "stopped_by_failures": find_broken_budget(state),
     }
 
 
--- a/src/hyssopway/fleet/zone_steps.py
+++ b/src/hyssopway/fleet/zone_steps.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken, find_excess
+from hyssopway.control.apply.budgets import find_broken_budget, find_exhausted_budget
 from hyssopway.control.command import MoveVm, ReturnPermit, SetZone, TakePermit
 from hyssopway.control.record import PermitPurpose, VmState, ZoneStatus
 
@@ -82,7 +82,7 @@
 
 
 def _empty_zone(state: ControlState, *, zone: Zone) -> list[ZoneStep]:
-    if find_broken(state):
+    if find_broken_budget(state):
         return []
     steps: list[ZoneStep] = [*_bring_capacity(state, zone=zone)]
     chosen: set[str] = set()
@@ -91,7 +91,7 @@
             continue
         # Only the whole budget of a pool limits a withdrawal, so a refusal holds for all its VMs.
         chosen.add(vm.pool)
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.WITHDRAWAL):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.WITHDRAWAL):
             steps.append(_permit(zone, vm=vm, purpose=PermitPurpose.WITHDRAWAL))
         else:
             steps += _swap_out(state, zone=zone, pool=vm.pool)
@@ -114,7 +114,7 @@
         if not is_own or (vm.pool, vm.state) != (pool, VmState.DRAINED) or is_away(vm):
             continue
         moved = replace(vm, pool=spare)
-        if not left and not find_excess(state, vm=moved, purpose=PermitPurpose.WITHDRAWAL):
+        if not left and not find_exhausted_budget(state, vm=moved, purpose=PermitPurpose.WITHDRAWAL):
             reason = f"{holder}; a spare VM took its place"
             return [MoveVm(vm=vm.name, target=spare, expected_epoch=vm.epoch, reason=reason)]
     return []
@@ -137,7 +137,7 @@
         return []
     pool = max(missing, key=lambda name: (missing[name], name))
     for vm in list_spares(state, outside=zone.name)[:MAX_TRIES]:
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MOVE):
             return [_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=pool)]
     return []
 
@@ -174,7 +174,7 @@
     moved = [vm for vm in moved if document and document.pool(name=vm.moved_from)]
     moved.sort(key=lambda vm: vm.zone != zone.name)
     for vm in moved[:MAX_TRIES]:
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MOVE):
             return [_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=vm.moved_from)]
     return []
 
