--- a/src/hyssopway/control/apply/dispatch.py
+++ b/src/hyssopway/control/apply/dispatch.py
@@ -20,9 +20,9 @@
     EndRun,
     GrantKey,
     MoveVm,
-    NoteQuestion,
     PromoteDocument,
     ReclaimRun,
+    RecordDrainQuestion,
     RegisterVm,
     RejectJob,
     ReleaseClaim,
@@ -41,7 +41,7 @@
 
 from .claims import claim_request, release_claim, resolve_claim
 from .documents import promote_document, trial_document
-from .drains import decide_drain, drain_vm, note_question, request_move, return_vm
+from .drains import decide_drain, drain_vm, record_drain_question, request_move, return_vm
 from .jobs import accept_job, cancel_job, cancel_jobs, reject_job
 from .keys import grant_key, withdraw_key
 from .permits import return_permit, take_permit
@@ -95,8 +95,8 @@
             return move_vm(state, command)
         case TakePermit():
             return take_permit(state, command)
-        case NoteQuestion():
-            return note_question(state, command)
+        case RecordDrainQuestion():
+            return record_drain_question(state, command)
         case ReturnPermit():
             return return_permit(state, command)
         case ClaimRequest():
--- a/src/hyssopway/control/apply/drains.py
+++ b/src/hyssopway/control/apply/drains.py
@@ -15,7 +15,7 @@
 from .refusal import refuse
 
 if TYPE_CHECKING:
-    from hyssopway.control.command import DecideDrain, DrainVm, NoteQuestion, RequestMove, ReturnVm
+    from hyssopway.control.command import DecideDrain, DrainVm, RecordDrainQuestion, RequestMove, ReturnVm
     from hyssopway.control.state import ControlState
     from hyssopway.result import Failure
 
@@ -71,7 +71,7 @@
     return Ok(Change(generation=vm.epoch, reference=vm.name))
 
 
-def note_question(state: ControlState, command: NoteQuestion) -> Result[Change, Failure]:
+def record_drain_question(state: ControlState, command: RecordDrainQuestion) -> Result[Change, Failure]:
     """Records that operators were asked about the work on a draining VM."""
     permit = state.tables.permits.get(command.vm)
     if permit is None or (permit.holder, permit.at_ms) != (command.holder, command.at_ms) or permit.asked:
--- a/src/hyssopway/control/command/__init__.py
+++ b/src/hyssopway/control/command/__init__.py
@@ -18,9 +18,9 @@
 from .end_run import EndRun
 from .grant_key import GrantKey
 from .move_vm import MoveVm
-from .note_question import NoteQuestion
 from .promote_document import PromoteDocument
 from .reclaim_run import ReclaimRun
+from .record_drain_question import RecordDrainQuestion
 from .register_vm import RegisterVm
 from .reject_job import RejectJob
 from .release_claim import ReleaseClaim
@@ -70,7 +70,7 @@
     | MoveVm
     | TakePermit
     | ReturnPermit
-    | NoteQuestion
+    | RecordDrainQuestion
     | ClaimRequest
     | ResolveClaim
     | ReleaseClaim
@@ -98,10 +98,10 @@
     "EndRun",
     "GrantKey",
     "MoveVm",
-    "NoteQuestion",
     "OperatorCommand",
     "PromoteDocument",
     "ReclaimRun",
+    "RecordDrainQuestion",
     "RegisterVm",
     "RejectJob",
     "ReleaseClaim",
--- a/src/hyssopway/control/command/note_question.py
+++ b/src/hyssopway/control/command/record_drain_question.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class NoteQuestion:
+class RecordDrainQuestion:
     """Keeps a new leader from asking the same question again.
 
     Attributes:
@@ -22,4 +22,4 @@
     kind: Literal["note_question"] = "note_question"
 
 
-__all__ = ["NoteQuestion"]
+__all__ = ["RecordDrainQuestion"]
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -12,7 +12,7 @@
     ChangeVm,
     ControlWave,
     MoveVm,
-    NoteQuestion,
+    RecordDrainQuestion,
     SetZone,
     TakePermit,
 )
@@ -178,7 +178,7 @@
                 # The answer may be lost after the record was agreed; the next round then finds it.
                 self.asking.add(key)
                 await self.submitter.submit(
-                    NoteQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
+                    RecordDrainQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
                     timeout_s=SUBMIT_TIMEOUT_S,
                 )
             if permit.asked and key in self.asking:
