--- a/tests/control/test_jobs.py
+++ b/tests/control/test_jobs.py
@@ -15,7 +15,7 @@
 from hyssopway.control.record.job import MAX_HISTORY
 from hyssopway.document import Resources
 from hyssopway.result import ResultCode
-from states import prepare
+from states import make_submitter
 
 if TYPE_CHECKING:
     from states import LocalSubmitter
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def submitter() -> LocalSubmitter:
-    prepared = prepare()
+    prepared = make_submitter()
     prepared.register("vm")
     return prepared
 
@@ -39,12 +39,12 @@
     submitter.accept("other", team="blue")
     submitter.start("j0", "vm")
     names = ["j0", "j1", "j2", "other", "missing"]
-    assert submitter.must(CancelJobs(job_ids=names, team="red")).generation == 3
+    assert submitter.apply_or_fail(CancelJobs(job_ids=names, team="red")).generation == 3
     jobs = submitter.state.tables.jobs
     assert [jobs[name].status for name in names[:4]] == ["running", "cancelled", "cancelled", "pending"]
     assert jobs["j0"].cancelling
     assert submitter.start("j1", "vm").failure is not None
-    submitter.must(EndRun(job_id="j0", epoch=1, outcome=RunOutcome.STOPPED, vm="vm"))
+    submitter.apply_or_fail(EndRun(job_id="j0", epoch=1, outcome=RunOutcome.STOPPED, vm="vm"))
     assert jobs["j0"].status is JobStatus.CANCELLED
 
 
@@ -65,7 +65,7 @@
     submitter.start("j0", "vm")
     reclaim = ReclaimRun(job_id="j0", epoch=1, action=ReclaimAction.THROTTLE, reason="test")
     for _ in range(2 * MAX_HISTORY):
-        submitter.must(reclaim)
+        submitter.apply_or_fail(reclaim)
     assert len(submitter.state.tables.jobs["j0"].history) == MAX_HISTORY
 
 
@@ -74,7 +74,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.submitter = prepare()
+        self.submitter = make_submitter()
         for number in (1, 2):
             self.submitter.register(f"vm{number}")
         self.accepted: set[str] = set()
--- a/tests/fleet/test_lending.py
+++ b/tests/fleet/test_lending.py
@@ -12,7 +12,7 @@
 from hyssopway.fleet.lending import decide_lending, required_spare
 from hyssopway_standins.agreed import AgreedStandIn
 from hyssopway_standins.wave_driver import WaveDriver
-from states import prepare
+from states import make_submitter
 
 
 @pytest.fixture
@@ -95,7 +95,7 @@
 )
 def test_jobs_that_a_limit_holds_back_are_no_demand(team, started, accepted, cores):
     """Guards against VMs that are moved for jobs which their team's limit of 3 tasks keeps waiting."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm-1")
     for number in range(accepted):
         assert submitter.accept(f"job-{number}", team=team).failure is None
@@ -106,7 +106,7 @@
 
 def test_jobs_of_a_dropped_team_are_no_demand():
     """Guards against VMs that are lent for jobs of a team that a newer document dropped."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.accept("job-1", team="red")
     submitter.state.document().teams.clear()
     assert count_waiting_cores(submitter.state) == {}
--- a/tests/job/conftest.py
+++ b/tests/job/conftest.py
@@ -9,7 +9,7 @@
 from hyssopway.control.command import EndRun
 from hyssopway.control.record import RunOutcome
 from hyssopway.job import JobScheduler, UsageBook
-from states import ManualClock, prepare
+from states import ManualClock, make_submitter
 
 if TYPE_CHECKING:
     from hyssopway.control.record import Job
@@ -19,7 +19,7 @@
     """A scheduler whose commands apply at once."""
 
     def __init__(self) -> None:
-        self.submitter = prepare()
+        self.submitter = make_submitter()
         self.clock = ManualClock()
         self.book = UsageBook()
         self.scheduler = JobScheduler(
@@ -39,7 +39,7 @@
 
     def end(self, job_id: str, outcome: RunOutcome = RunOutcome.DONE) -> None:
         """Ends the run of a job."""
-        self.submitter.must(EndRun(job_id=job_id, epoch=self.jobs[job_id].runs, outcome=outcome))
+        self.submitter.apply_or_fail(EndRun(job_id=job_id, epoch=self.jobs[job_id].runs, outcome=outcome))
 
     @property
     def jobs(self) -> dict[str, Job]:
--- a/tests/job/test_lost_homes.py
+++ b/tests/job/test_lost_homes.py
@@ -8,7 +8,7 @@
 from hyssopway.control.record import JobStatus, VmState
 from hyssopway.job import LostHomes
 from hyssopway.job.lost_homes import DOWN_S
-from states import DOCUMENT, ManualClock, prepare
+from states import DOCUMENT, ManualClock, make_submitter
 
 # cut_off_run_s of the default policy, the worker's lease and the margin.
 ALLOWED_S = 120 + 4 + 5
@@ -26,7 +26,7 @@
 )
 async def test_home_is_lost_only_after_the_whole_time(contact_at, leads_at, freeze, lost):
     """Guards against a second run beside one that a cut-off home still keeps alive."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm", home="h2")
     submitter.accept("job")
     submitter.start("job", "vm")
@@ -56,7 +56,7 @@
 
 async def test_home_cut_off_before_a_lower_limit_keeps_its_old_one():
     """Guards against a second run while a cut-off home still renews leases by the former document."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm", home="h2")
     submitter.accept("job")
     submitter.start("job", "vm")
@@ -71,10 +71,12 @@
     )
     await homes.check()
     text = DOCUMENT.replace("cut_off_run_s: 120", "cut_off_run_s: 10")
-    digest = submitter.must(
+    digest = submitter.apply_or_fail(
         TrialDocument(text=text, expected_generation=1, request_id="t2", operator="o")
     ).reference
-    submitter.must(PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o"))
+    submitter.apply_or_fail(
+        PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o")
+    )
     lost_at = 0.0
     while not lost_at and clock.now < 2 * ALLOWED_S:
         clock.now += 0.5
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -161,7 +161,9 @@
     """Guards against a zone that takes all work at once and fails again."""
     for number in range(4):
         leader.submitter.register(f"vm{number}")
-    leader.submitter.must(SetZone(zone="a", status=ZoneStatus.RETURNING, request_id="r", operator="o"))
+    leader.submitter.apply_or_fail(
+        SetZone(zone="a", status=ZoneStatus.RETURNING, request_id="r", operator="o")
+    )
     for number in range(20):
         leader.submitter.accept(f"j{number}", team="blue")
     for expected in (4, 8, 12, 16):
@@ -219,8 +221,8 @@
     await leader.round()
     text = DOCUMENT.replace("max_running: 3,", "max_running: 1,")
     trial = TrialDocument(text=text, expected_generation=1, request_id="t2", operator="o")
-    digest = leader.submitter.must(trial).reference
-    leader.submitter.must(
+    digest = leader.submitter.apply_or_fail(trial).reference
+    leader.submitter.apply_or_fail(
         PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o")
     )
     await leader.round(3)
@@ -268,7 +270,9 @@
             (ZoneStatus.OPEN, {"vm-a", "vm-b"}),
         ]
     ):
-        leader.submitter.must(SetZone(zone="a", status=status, request_id=f"z{number}", operator="o"))
+        leader.submitter.apply_or_fail(
+            SetZone(zone="a", status=status, request_id=f"z{number}", operator="o")
+        )
         for part in range(2):
             leader.submitter.accept(f"j{number}-{part}", team="blue")
         await leader.round()
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_unordered_runs.py
@@ -13,7 +13,7 @@
 from hyssopway.job import LostHomes, UnorderedRuns
 from hyssopway.job.lost_homes import SILENT_S
 from hyssopway.result import Failure, ResultCode
-from states import LocalSubmitter, ManualClock, prepare
+from states import LocalSubmitter, ManualClock, make_submitter
 
 if TYPE_CHECKING:
     from typing import Any
@@ -47,7 +47,7 @@
 class World:
     """A leader with one run on a worker of home `h2`, which was never in contact."""
 
-    submitter: LocalSubmitter = field(default_factory=prepare)
+    submitter: LocalSubmitter = field(default_factory=make_submitter)
     clock: ManualClock = field(default_factory=ManualClock)
     member: FakeMember = field(default_factory=FakeMember)
 
--- a/tests/states.py
+++ b/tests/states.py
@@ -43,11 +43,11 @@
 
 @dataclass
 class LocalSubmitter:
-    """Applies commands at once to a replica; `cut_off` keeps every command from its outcome."""
+    """Applies commands at once to a replica; while `is_partitioned`, only after the timeout."""
 
     replica: Replica
     at_ms: int = 1_000
-    cut_off: bool = False
+    is_partitioned: bool = False
     commands: list[Any] = field(default_factory=list)
     outcomes: list[Any] = field(default_factory=list)
 
@@ -57,7 +57,7 @@
 
     async def submit(self, command: Any, *, timeout_s: float = 5.0) -> Result[Outcome, Failure]:
         """Applies a command, late while cut off."""
-        if self.cut_off:
+        if self.is_partitioned:
             await asyncio.sleep(timeout_s)
         self.commands.append(command)
         outcome = self.apply(command)
@@ -69,7 +69,7 @@
         data = encode_envelope(Envelope(at_ms=self.at_ms, wall_ms=self.at_ms, command=command))
         return self.replica.apply(index=self.replica.applied_index + 1, data=data)
 
-    def must(self, command: Any) -> Outcome:
+    def apply_or_fail(self, command: Any) -> Outcome:
         """Applies a command that may not be refused."""
         outcome = self.apply(command)
         assert outcome.failure is None, outcome.failure
@@ -85,7 +85,7 @@
     ) -> None:
         """Registers a VM."""
         options = {"rack": f"{zone}-1", "pool": "p", "capacity": CAPACITY} | more
-        self.must(RegisterVm(vm=vm, zone=zone, home=home, boot_id=boot_id, **options))
+        self.apply_or_fail(RegisterVm(vm=vm, zone=zone, home=home, boot_id=boot_id, **options))
 
     def accept(self, job_id: str, *, team: str = "red", **spec: Any) -> Outcome:
         """Accepts a job of a team."""
@@ -97,17 +97,19 @@
         return self.apply(StartRun(job_id=job_id, epoch=epoch, vm=vm, vm_epoch=vm_epoch, reason="test"))
 
 
-def prepare(*, document: str = DOCUMENT) -> LocalSubmitter:
+def make_submitter(*, document: str = DOCUMENT) -> LocalSubmitter:
     """Returns a state with the document in force and a key for each team."""
     submitter = LocalSubmitter(replica=Replica())
     trial = TrialDocument(text=document, expected_generation=0, request_id="t", operator="o")
-    digest = submitter.must(trial).reference
-    submitter.must(PromoteDocument(digest=digest, expected_generation=0, request_id="p", operator="o"))
+    digest = submitter.apply_or_fail(trial).reference
+    submitter.apply_or_fail(
+        PromoteDocument(digest=digest, expected_generation=0, request_id="p", operator="o")
+    )
     for team in ("red", "blue"):
         grant = GrantKey(
             key_id=f"key-{team}", key_hash="0" * 64, team=team, request_id=f"k-{team}", operator="o"
         )
-        submitter.must(grant)
+        submitter.apply_or_fail(grant)
     return submitter
 
 
@@ -122,7 +124,7 @@
         return self.now
 
 
-def fresh(clock: ManualClock) -> Freshness:
+def make_freshness(clock: ManualClock) -> Freshness:
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock.now)
     freshness.cover(index=1_000_000)
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -19,7 +19,7 @@
 from hyssopway.replica import Replica
 from hyssopway.result import ResultCode
 from hyssopway.worker import EndedRun, RunningTask, SyncReply, SyncRequest, WorkerSessions, report_silent
-from states import CAPACITY, LocalSubmitter, ManualClock, fresh, prepare
+from states import CAPACITY, LocalSubmitter, ManualClock, make_freshness, make_submitter
 
 if TYPE_CHECKING:
     from hyssopway.control.record import Job
@@ -29,9 +29,9 @@
     """A home entry with one registered VM and one run placed on it."""
 
     def __init__(self) -> None:
-        self.submitter = prepare()
+        self.submitter = make_submitter()
         self.clock = ManualClock()
-        self.freshness = fresh(self.clock)
+        self.freshness = make_freshness(self.clock)
         self.sessions = WorkerSessions(
             own_name="h1",
             replica=self.submitter.replica,
@@ -72,15 +72,17 @@
 
 
 def _withdraw(home: Home) -> None:
-    home.submitter.must(SetZone(zone="a", status=ZoneStatus.WITHDRAWN, request_id="z", operator="o"))
+    home.submitter.apply_or_fail(SetZone(zone="a", status=ZoneStatus.WITHDRAWN, request_id="z", operator="o"))
 
 
 def _cancel(home: Home) -> None:
-    home.submitter.must(CancelJob(job_id="job", team="red"))
+    home.submitter.apply_or_fail(CancelJob(job_id="job", team="red"))
 
 
 def _drain(home: Home) -> None:
-    home.submitter.must(TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1))
+    home.submitter.apply_or_fail(
+        TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1)
+    )
 
 
 def _expire(home: Home) -> None:
@@ -158,12 +160,12 @@
 
 async def test_report_is_acknowledged_only_when_agreed_and_does_not_hold_up_the_lease(home):
     """Guards against lost reports, and against tasks lost in a cut-off zone because a report waits."""
-    home.submitter.cut_off = True
+    home.submitter.is_partitioned = True
     ended = EndedRun(job_id="job", epoch=1, outcome=RunOutcome.DONE)
     reply = await asyncio.wait_for(home.reply(ended=[ended]), 1.0)
     assert reply.acknowledged == []
     assert reply.lease_s > 0
-    home.submitter.cut_off = False
+    home.submitter.is_partitioned = False
     await asyncio.sleep(2.1)
     assert (await home.reply(ended=[ended])).acknowledged == ["job"]
     assert home.job.status is JobStatus.DONE
@@ -188,7 +190,9 @@
 
 async def test_down_vm_under_permit_does_not_take_work_again(home):
     """Guards against work on a VM that an operator still holds out of service."""
-    home.submitter.must(TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1))
+    home.submitter.apply_or_fail(
+        TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1)
+    )
     await home.reply()
     home.clock.now += 6
     await report_silent(home.sessions)
@@ -201,16 +205,16 @@
 async def test_order_given_up_is_not_given_after_the_zone_returns(home):
     """Guards against a start order that crosses its own cancellation on the way to the leader."""
     await home.reply()
-    home.submitter.cut_off = True
+    home.submitter.is_partitioned = True
     _withdraw(home)
     assert (await home.reply()).start == []
-    home.submitter.must(SetZone(zone="a", status=ZoneStatus.OPEN, request_id="y", operator="o"))
+    home.submitter.apply_or_fail(SetZone(zone="a", status=ZoneStatus.OPEN, request_id="y", operator="o"))
     assert (await home.reply()).start == []
 
 
 def test_start_needs_the_pool_of_the_job():
     """Guards against a task on a VM of another pool."""
-    submitter: LocalSubmitter = prepare()
+    submitter: LocalSubmitter = make_submitter()
     submitter.register("other", pool="q")
     submitter.accept("job")
     outcome = submitter.start("job", "other")
@@ -251,7 +255,7 @@
     """Guards against orders that wait for the next sync, and against an answer to a lost request."""
     monkeypatch.setattr("hyssopway.worker.sessions.MAX_WAIT_S", 0.05 if case == "time limit" else WAIT_S)
     if case == "start":
-        home.submitter.must(EndRun(job_id="job", epoch=1, outcome=RunOutcome.STOPPED))
+        home.submitter.apply_or_fail(EndRun(job_id="job", epoch=1, outcome=RunOutcome.STOPPED))
     waiting = asyncio.create_task(home.sync(running=running, wait_s=WAIT_S, number=1))
     async with asyncio.timeout(5):
         while "vm" not in home.submitter.replica.vm_wakers:  # noqa: ASYNC110  bounded by the timeout
@@ -261,10 +265,10 @@
         case "start":
             home.submitter.start("job", "vm", epoch=2)
         case "cancel":
-            home.submitter.must(CancelJob(job_id="job", team="red"))
+            home.submitter.apply_or_fail(CancelJob(job_id="job", team="red"))
         case "checkpoint" | "throttle":
             action = ReclaimAction.CHECKPOINT if case == "checkpoint" else ReclaimAction.THROTTLE
-            home.submitter.must(ReclaimRun(job_id="job", epoch=1, action=action, reason="share"))
+            home.submitter.apply_or_fail(ReclaimRun(job_id="job", epoch=1, action=action, reason="share"))
         case "time limit":
             home.clock.now += WAIT_S
         case "later sync":
@@ -281,7 +285,7 @@
 
 async def test_repeated_request_to_stop_does_not_end_every_wait(home):
     """Guards against a worker that syncs without a pause while a task takes its time to end."""
-    home.submitter.must(CancelJob(job_id="job", team="red"))
+    home.submitter.apply_or_fail(CancelJob(job_id="job", team="red"))
     assert (await home.reply(running=[RUNNING], wait_s=WAIT_S, number=1)).stop == ["job"]
     waiting = asyncio.create_task(home.sync(running=[RUNNING], wait_s=0.1, number=2))
     await asyncio.sleep(0.02)
