--- a/tests/agreed.py
+++ b/tests/daemon_dumps.py
@@ -15,7 +15,7 @@
     from hyssopway_standins.processes import Deployment
 
 
-async def leader_of(operator: OperatorClient) -> str:
+async def find_leader(operator: OperatorClient) -> str:
     """Returns the daemon that leads, as the operator's entry knows it."""
 
     async def find() -> str:
@@ -37,13 +37,13 @@
     return list(await asyncio.gather(*(client.get("/v1/dump") for client in clients)))
 
 
-def is_confirmed(dump: dict[str, Any]) -> bool:
+def has_fresh_state(dump: dict[str, Any]) -> bool:
     """Tells whether a daemon makes decisions on its state."""
     return dump["freshness_age_s"] is not None and dump["freshness_age_s"] <= AUTHORITY_TTL_S
 
 
-async def all_equal(deployment: Deployment, operator: OperatorClient) -> bool:
+async def replicas_converged(deployment: Deployment, operator: OperatorClient) -> bool:
     """Tells whether all daemons hold the same state and confirm it."""
     dumps = await read_dumps(deployment, operator)
     same = all(dump["agreed_state"] == dumps[0]["agreed_state"] for dump in dumps)
-    return same and all(is_confirmed(dump) for dump in dumps)
+    return same and all(has_fresh_state(dump) for dump in dumps)
--- a/tests/whole/test_cuts.py
+++ b/tests/whole/test_cuts.py
@@ -12,7 +12,7 @@
 import aiohttp
 import pytest
 
-from agreed import all_equal, leader_of
+from daemon_dumps import find_leader, replicas_converged
 from hyssopway_standins.job_load import submit_jobs
 from hyssopway_standins.network import Network, between
 from hyssopway_standins.processes import Deployment
@@ -145,7 +145,7 @@
 ):
     """Guards against work on a withdrawn key or zone behind a cut, and states that differ after it."""
     key = await operator.grant_key("casco-bay")
-    leader = await leader_of(operator)
+    leader = await find_leader(operator)
     cut_off = case.cut_off(leader)
     majority = [name for name in DAEMONS if name not in cut_off]
     zone = deployment.daemons[min(cut_off)].zone
@@ -199,7 +199,7 @@
         start[0] for worker in outside.workers.values() if worker.zone == zone for start in worker.starts
     ]
     assert not [at - zone_at for at in starts if at > zone_at + LIMIT_S]
-    await wait_until(lambda: all_equal(deployment, operator), timeout_s=20)
+    await wait_until(lambda: replicas_converged(deployment, operator), timeout_s=20)
 
 
 def target(deployment: Deployment, probe: Probe, path: str) -> str:
--- a/tests/whole/test_races.py
+++ b/tests/whole/test_races.py
@@ -11,8 +11,8 @@
 import aiohttp
 import pytest
 
-from agreed import all_equal, is_confirmed, leader_of, read_dumps
 from agreement.linearizability import PENDING, REFUSED, Operation, is_linearizable
+from daemon_dumps import find_leader, has_fresh_state, read_dumps, replicas_converged
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
@@ -103,7 +103,7 @@
 
     async def disturb() -> None:
         while time.monotonic() < until - 2:
-            leader = deployment.daemons[await leader_of(operator)]
+            leader = deployment.daemons[await find_leader(operator)]
             if rng.random() < 0.5:
                 leader.send(signal.SIGSTOP)
                 await asyncio.sleep(rng.uniform(1.0, 2.0))
@@ -130,7 +130,7 @@
     assert any(operation.result == REFUSED for operation in history), "the operators did not compete"
     assert len(set(accepted)) == len(accepted)
     assert is_linearizable(shifted)
-    await wait_until(lambda: all_equal(deployment, operator))
+    await wait_until(lambda: replicas_converged(deployment, operator))
 
 
 @pytest.mark.faults
@@ -140,7 +140,7 @@
     """Guards against a leader that was frozen beyond every lease and still trusts its state."""
     key = await operator.grant_key("casco-bay")
     headers = {"Authorization": f"Bearer {key}"}
-    leader = deployment.daemons[await leader_of(operator)]
+    leader = deployment.daemons[await find_leader(operator)]
     other = next(daemon for daemon in deployment.daemons.values() if daemon.name != leader.name)
     operator.url = other.url
 
@@ -167,7 +167,7 @@
     assert set(woken) <= {403, 503}
     seen = {name for endpoint in outside.endpoints.values() for name in endpoint.seen}
     assert not [name for name in seen if name.startswith("woken-") and name != "woken-0"]
-    await wait_until(lambda: all_equal(deployment, operator))
+    await wait_until(lambda: replicas_converged(deployment, operator))
 
 
 @pytest.mark.faults
@@ -225,11 +225,11 @@
         except aiohttp.ClientError:
             return False
         for dump in found:
-            if is_confirmed(dump):
+            if has_fresh_state(dump):
                 assert wanted <= set(dump["agreed_state"]["keys"]), dump["daemon"]
             index = dump["agreed_state"]["applied_index"]
             assert index >= seen[dump["daemon"]], dump["daemon"]
             seen[dump["daemon"]] = index
-        return await all_equal(deployment, operator)
+        return await replicas_converged(deployment, operator)
 
     await wait_until(check)
