--- a/src/hyssopway/control/apply/claims.py
+++ b/src/hyssopway/control/apply/claims.py
@@ -23,7 +23,7 @@
 
     A success with generation 1 lets the caller run it; generation 2 means that the outcome is stored.
     """
-    _forget_expired(state)
+    _evict_expired(state)
     claim = state.tables.claims.get(command.claim_id)
     if claim is None:
         _add_claim(state, command)
@@ -81,14 +81,14 @@
     )
 
 
-def _forget_expired(state: ControlState) -> None:
+def _evict_expired(state: ControlState) -> None:
     # Claims are kept in order of creation, so only the oldest need a look; a few a call keep it cheap.
-    for claim_id in list(_oldest(state, count=4)):
+    for claim_id in list(_oldest_claim_ids(state, count=4)):
         if state.tables.claims[claim_id].kept_until_ms < state.tables.now_ms:
             del state.tables.claims[claim_id]
 
 
-def _oldest(state: ControlState, *, count: int) -> list[str]:
+def _oldest_claim_ids(state: ControlState, *, count: int) -> list[str]:
     found = []
     for claim_id in state.tables.claims:
         found.append(claim_id)
--- a/src/hyssopway/control/apply/documents.py
+++ b/src/hyssopway/control/apply/documents.py
@@ -28,7 +28,7 @@
 
 def trial_document(state: ControlState, command: TrialDocument) -> Result[Change, Failure]:
     """Puts a document into the trial environment."""
-    return _put_in_force(
+    return _activate(
         state,
         environment=TRIAL,
         text=command.text,
@@ -39,12 +39,12 @@
 
 def promote_document(state: ControlState, command: PromoteDocument) -> Result[Change, Failure]:
     """Puts a tried document into production."""
-    text = _find_tried(state, digest=command.digest)
+    text = _find_trialed_text(state, digest=command.digest)
     if text is None:
         message = f"document {command.digest[:12]} was not accepted by the trial environment; run trial first"
         return refuse(ResultCode.NOT_TRIALED, message)
     before = state.document()
-    result = _put_in_force(
+    result = _activate(
         state,
         environment=PRODUCTION,
         text=text,
@@ -53,11 +53,11 @@
     )
     after = state.document()
     if before and after and before.jobs.cut_off_run_s > after.jobs.cut_off_run_s:
-        state.tables.note_cut_off(before.jobs.cut_off_run_s)
+        state.tables.record_cut_off(before.jobs.cut_off_run_s)
     return result
 
 
-def _find_tried(state: ControlState, *, digest: str) -> str | None:
+def _find_trialed_text(state: ControlState, *, digest: str) -> str | None:
     stored = state.tables.documents.get(TRIAL)
     candidates = [*([stored] if stored else []), *state.tables.history]
     return next(
@@ -65,7 +65,7 @@
     )
 
 
-def _put_in_force(
+def _activate(
     state: ControlState,
     *,
     environment: str,
@@ -98,11 +98,11 @@
         at_ms=state.tables.wall_ms,
     )
     state.indexes.parsed[environment] = document
-    _add_zones(state, document=document)
+    _add_missing_zones(state, document=document)
     return Ok(Change(generation=generation + 1, reference=digest_document(text=text)))
 
 
-def _add_zones(state: ControlState, *, document: EnvironmentDocument) -> None:
+def _add_missing_zones(state: ControlState, *, document: EnvironmentDocument) -> None:
     for name in document.zones:
         state.tables.zones.setdefault(name, Zone(name=name))
 
--- a/src/hyssopway/control/apply/drains.py
+++ b/src/hyssopway/control/apply/drains.py
@@ -24,7 +24,7 @@
 
 def drain_vm(state: ControlState, command: DrainVm) -> Result[Change, Failure]:
     """Takes a permit that an operator returns."""
-    return _take(state, command, purpose=PermitPurpose.OPERATOR)
+    return _take_operator_permit(state, command, purpose=PermitPurpose.OPERATOR)
 
 
 def request_move(state: ControlState, command: RequestMove) -> Result[Change, Failure]:
@@ -35,7 +35,7 @@
         return refuse(ResultCode.UNKNOWN_POOL, f"pool {command.target!r} is not in the production document")
     if vm is not None and vm.pool == command.target:
         return refuse(ResultCode.VM_STATE_CONFLICT, f"VM {vm.name} is in pool {vm.pool} already")
-    result = _take(state, command, purpose=PermitPurpose.MOVE)
+    result = _take_operator_permit(state, command, purpose=PermitPurpose.MOVE)
     if result.is_ok():
         state.tables.permits[command.vm].target = command.target
     return result
@@ -81,7 +81,7 @@
     return Ok(Change(reference=command.vm))
 
 
-def _take(
+def _take_operator_permit(
     state: ControlState, command: DrainVm | RequestMove, *, purpose: PermitPurpose
 ) -> Result[Change, Failure]:
     # The request id keeps two requests of one operator apart; a resend is answered before it gets here.
--- a/src/hyssopway/control/apply/jobs.py
+++ b/src/hyssopway/control/apply/jobs.py
@@ -20,7 +20,7 @@
 
 # Ended jobs are shown for a while; 10,000 of about 1 KB keep a daemon far below its 128 MB.
 MAX_ENDED_JOBS = 10_000
-FINAL = {JobStatus.DONE, JobStatus.FAILED, JobStatus.CANCELLED, JobStatus.CANNOT_RUN}
+FINAL_STATUSES = {JobStatus.DONE, JobStatus.FAILED, JobStatus.CANCELLED, JobStatus.CANNOT_RUN}
 
 
 def accept_job(state: ControlState, command: AcceptJob) -> Result[Change, Failure]:
@@ -35,7 +35,7 @@
         return refuse(
             ResultCode.KEY_INVALID, f"key {command.key_id!r} is not valid for team {command.team!r}"
         )
-    impossible = _find_impossible(state, command)
+    impossible = _find_rejection_reason(state, command)
     if impossible:
         return refuse(ResultCode.JOB_CANNOT_RUN, impossible)
     job = Job(
@@ -90,13 +90,13 @@
     job.cancelling = False
     job.detail = detail
     job.ended_ms = state.tables.wall_ms
-    job.note(f"{status}: {detail}")
+    job.add_history(f"{status}: {detail}")
     state.tables.ended_jobs.append(job.job_id)
     if len(state.tables.ended_jobs) > MAX_ENDED_JOBS:
         del state.tables.jobs[state.tables.ended_jobs.pop(0)]
 
 
-def _find_impossible(state: ControlState, command: AcceptJob) -> str:
+def _find_rejection_reason(state: ControlState, command: AcceptJob) -> str:
     document = state.document()
     team = document.team(name=command.team) if document else None
     if document is None or team is None:
@@ -110,4 +110,4 @@
     return ""
 
 
-__all__ = ["FINAL", "accept_job", "cancel_job", "cancel_jobs", "finish_job", "reject_job"]
+__all__ = ["FINAL_STATUSES", "accept_job", "cancel_job", "cancel_jobs", "finish_job", "reject_job"]
--- a/src/hyssopway/control/apply/permits.py
+++ b/src/hyssopway/control/apply/permits.py
@@ -70,7 +70,7 @@
     return Ok(Change(generation=vm.epoch, reference=vm.name))
 
 
-def is_for_move(state: ControlState, *, vm: Vm) -> bool:
+def has_move_permit(state: ControlState, *, vm: Vm) -> bool:
     """Tells whether a VM is stopped only to be moved."""
     permit = state.tables.permits.get(vm.name)
     return permit is not None and permit.purpose is PermitPurpose.MOVE
@@ -96,4 +96,4 @@
     return refuse(ResultCode.BUDGET_EXHAUSTED, excess) if excess else None
 
 
-__all__ = ["find_exhausted_budget", "is_for_move", "return_permit", "take_permit"]
+__all__ = ["find_exhausted_budget", "has_move_permit", "return_permit", "take_permit"]
--- a/src/hyssopway/control/apply/runs.py
+++ b/src/hyssopway/control/apply/runs.py
@@ -49,7 +49,7 @@
         started_index=state.applied_index,
         home_epoch=state.tables.vms[command.vm].home_epoch,
     )
-    job.note(f"run {command.epoch} on {command.vm}: {command.reason}")
+    job.add_history(f"run {command.epoch} on {command.vm}: {command.reason}")
     state.indexes.add_run(job=job, vm=command.vm)
     return Ok(Change(generation=command.epoch, reference=job.job_id))
 
@@ -65,11 +65,11 @@
     if refusal is not None:
         return refusal
     state.indexes.remove_run(job=job, vm=job.run.vm)
-    state.indexes.feed.note_end(_to_end(job, run=job.run, command=command))
+    state.indexes.feed.record_run_end(_make_run_end(job, run=job.run, command=command))
     if command.checkpoint:
         job.checkpoint = command.checkpoint
-    job.note(f"run {command.epoch} on {job.run.vm} {command.outcome}: {command.detail}")
-    _conclude(state, job=job, command=command)
+    job.add_history(f"run {command.epoch} on {job.run.vm} {command.outcome}: {command.detail}")
+    _apply_run_outcome(state, job=job, command=command)
     return Ok(Change(generation=command.epoch, reference=job.status))
 
 
@@ -79,11 +79,11 @@
     if job is None or job.run is None or job.run.epoch != command.epoch:
         return refuse(ResultCode.STALE_EPOCH, f"run {command.epoch} of {command.job_id!r} is not in progress")
     job.run.reclaim = command.action
-    job.note(f"run {command.epoch} on {job.run.vm} reclaimed by {command.action}: {command.reason}")
+    job.add_history(f"run {command.epoch} on {job.run.vm} reclaimed by {command.action}: {command.reason}")
     return Ok(Change(generation=command.epoch, reference=job.run.vm))
 
 
-def _to_end(job: Job, *, run: Run, command: EndRun) -> RunEnd:
+def _make_run_end(job: Job, *, run: Run, command: EndRun) -> RunEnd:
     return RunEnd(
         job_id=job.job_id,
         epoch=run.epoch,
@@ -135,7 +135,7 @@
     return None
 
 
-def _conclude(state: ControlState, *, job: Job, command: EndRun) -> None:
+def _apply_run_outcome(state: ControlState, *, job: Job, command: EndRun) -> None:
     probe = job.run is not None and job.run.probe
     job.run = None
     if command.outcome is RunOutcome.DONE:
--- a/src/hyssopway/control/apply/vms.py
+++ b/src/hyssopway/control/apply/vms.py
@@ -11,7 +11,7 @@
 from hyssopway.control.record import PermitPurpose, Vm, VmState
 from hyssopway.result import ResultCode
 
-from .permits import find_exhausted_budget, is_for_move
+from .permits import find_exhausted_budget, has_move_permit
 from .refusal import refuse
 
 if TYPE_CHECKING:
@@ -85,9 +85,9 @@
     excess = _find_exhausted_target_budget(state, vm=vm, target=command.target)
     if excess:
         return refuse(ResultCode.BUDGET_EXHAUSTED, excess)
-    _note_move(state, vm=vm, target=command.target)
+    _record_move(state, vm=vm, target=command.target)
     vm.pool = command.target
-    if is_for_move(state, vm=vm):
+    if has_move_permit(state, vm=vm):
         # In the target pool the VM would count as down until the permit is returned.
         del state.tables.permits[vm.name]
         vm.state = VmState.READY
@@ -96,17 +96,17 @@
     return Ok(Change(generation=vm.epoch, reference=vm.name))
 
 
-def _note_move(state: ControlState, *, vm: Vm, target: str) -> None:
+def _record_move(state: ControlState, *, vm: Vm, target: str) -> None:
     permit = state.tables.permits.get(vm.name)
     holder = permit.holder if permit else ""
-    is_back = bool(holder) and (vm.moved_for, vm.moved_from) == (holder, target)
-    vm.moved_for = "" if is_back else holder
-    vm.moved_from = "" if is_back or not holder else vm.pool
+    is_return = bool(holder) and (vm.moved_for, vm.moved_from) == (holder, target)
+    vm.moved_for = "" if is_return else holder
+    vm.moved_from = "" if is_return or not holder else vm.pool
 
 
 def _find_exhausted_target_budget(state: ControlState, *, vm: Vm, target: str) -> str:
     """Says which budget of the target pool a VM would exceed that stays down after its move."""
-    if is_for_move(state, vm=vm):
+    if has_move_permit(state, vm=vm):
         return ""
     permit = state.tables.permits.get(vm.name)
     purpose = permit.purpose if permit else PermitPurpose.MOVE
--- a/src/hyssopway/control/apply/waves.py
+++ b/src/hyssopway/control/apply/waves.py
@@ -24,7 +24,7 @@
 # A wave lists every VM; seven weeks of a fleet that is maintained in parts fit.
 MAX_WAVES = 20
 
-STEPS = {
+VM_TRANSITIONS = {
     WaveVmStatus.WAITING: {WaveVmStatus.DRAINING, WaveVmStatus.SKIPPED},
     WaveVmStatus.DRAINING: {WaveVmStatus.REBOOTING, WaveVmStatus.LOST, WaveVmStatus.SKIPPED},
     WaveVmStatus.REBOOTING: {WaveVmStatus.DONE, WaveVmStatus.LOST},
@@ -32,7 +32,7 @@
 }
 UNFINISHED_STATUSES = (WaveVmStatus.WAITING, WaveVmStatus.DRAINING, WaveVmStatus.REBOOTING)
 LOST_STATUSES = (WaveVmStatus.LOST, WaveVmStatus.REPLACED)
-ACTIONS = {
+WAVE_TRANSITIONS = {
     (WaveStatus.RUNNING, WaveAction.PAUSE): WaveStatus.PAUSED,
     (WaveStatus.PAUSED, WaveAction.RESUME): WaveStatus.RUNNING,
     (WaveStatus.RUNNING, WaveAction.ABORT): WaveStatus.ABORTED,
@@ -69,7 +69,7 @@
     if wave.epoch != command.expected_epoch:
         message = f"{wave.wave_id} is {wave.status} at epoch {wave.epoch}: {wave.reason}"
         return refuse(ResultCode.GENERATION_CONFLICT, message)
-    status = ACTIONS.get((wave.status, command.action))
+    status = WAVE_TRANSITIONS.get((wave.status, command.action))
     if status is None:
         return refuse(ResultCode.WAVE_CONFLICT, f"{wave.wave_id} is {wave.status}; cannot {command.action}")
     if command.action is WaveAction.RESUME:
@@ -77,7 +77,7 @@
     if command.action is WaveAction.ABORT:
         for name in wave.select(WaveVmStatus.WAITING):
             wave.vms[name].status = WaveVmStatus.SKIPPED
-    _set_status(wave, status=status, reason=command.reason or f"{command.action} by {command.operator}")
+    _set_wave_status(wave, status=status, reason=command.reason or f"{command.action} by {command.operator}")
     return Ok(Change(generation=wave.epoch, reference=wave.wave_id))
 
 
@@ -90,19 +90,19 @@
     if vm is None or command.vm not in wave.vms:
         return refuse(ResultCode.UNKNOWN_VM, f"VM {command.vm!r} is not in {wave.wave_id}")
     progress = wave.vms[command.vm]
-    if command.status not in STEPS.get(progress.status, ()):
+    if command.status not in VM_TRANSITIONS.get(progress.status, ()):
         message = f"VM {vm.name} is {progress.status} in {wave.wave_id}, next cannot be {command.status}"
         return refuse(ResultCode.WAVE_CONFLICT, message)
     if vm.epoch != command.expected_epoch:
         return refuse(ResultCode.STALE_EPOCH, f"VM {vm.name} is {vm.state} at epoch {vm.epoch}")
-    result = _take_step(state, wave=wave, vm=vm, command=command)
+    result = _apply_step(state, wave=wave, vm=vm, command=command)
     if result.is_error():
         return result
     progress.status = command.status
     progress.changed_ms = state.tables.now_ms
     progress.reason = command.reason
     if wave.status is WaveStatus.RUNNING and not wave.count(*UNFINISHED_STATUSES):
-        _set_status(wave, status=WaveStatus.DONE, reason="every VM was visited")
+        _set_wave_status(wave, status=WaveStatus.DONE, reason="every VM was visited")
     return Ok(Change(generation=vm.epoch, reference=vm.name))
 
 
@@ -118,35 +118,35 @@
     return wave.count(*LOST_STATUSES) + sum(state.tables.vms[name].state in failed for name in done)
 
 
-def _set_status(wave: Wave, *, status: WaveStatus, reason: str) -> None:
+def _set_wave_status(wave: Wave, *, status: WaveStatus, reason: str) -> None:
     wave.status = status
     wave.reason = reason
     wave.epoch += 1
 
 
-def _take_step(state: ControlState, *, wave: Wave, vm: Vm, command: AdvanceWave) -> Result[Change, Failure]:
+def _apply_step(state: ControlState, *, wave: Wave, vm: Vm, command: AdvanceWave) -> Result[Change, Failure]:
     match command.status:
         case WaveVmStatus.DRAINING:
-            return _drain(state, wave=wave, vm=vm)
+            return _start_drain(state, wave=wave, vm=vm)
         case WaveVmStatus.REBOOTING:
             wave.vms[vm.name].boot_id = vm.boot_id
-            return _change(state, vm=vm, target=VmState.REBOOTING, reason=wave.wave_id)
+            return _change_state(state, vm=vm, target=VmState.REBOOTING, reason=wave.wave_id)
         case WaveVmStatus.DONE:
-            return _finish(state, wave=wave, vm=vm)
+            return _finish_maintenance(state, wave=wave, vm=vm)
         case WaveVmStatus.LOST:
             if vm.state is not VmState.DOWN:
-                _change(state, vm=vm, target=VmState.DOWN, reason=command.reason)
-            return _give_back(state, wave=wave, vm=vm, reason=command.reason)
+                _change_state(state, vm=vm, target=VmState.DOWN, reason=command.reason)
+            return _return_permit(state, wave=wave, vm=vm, reason=command.reason)
         case WaveVmStatus.REPLACED:
-            return _replace(state, wave=wave, vm=vm, replacement=command.replacement)
+            return _move_replacement(state, wave=wave, vm=vm, replacement=command.replacement)
         case _:
             held = state.tables.permits.get(vm.name)
             if held is not None and held.holder == wave.wave_id:
-                return _give_back(state, wave=wave, vm=vm, reason=command.reason)
+                return _return_permit(state, wave=wave, vm=vm, reason=command.reason)
             return Ok(Change())
 
 
-def _drain(state: ControlState, *, wave: Wave, vm: Vm) -> Result[Change, Failure]:
+def _start_drain(state: ControlState, *, wave: Wave, vm: Vm) -> Result[Change, Failure]:
     if wave.status is not WaveStatus.RUNNING:
         return refuse(ResultCode.WAVE_CONFLICT, f"{wave.wave_id} is {wave.status}: {wave.reason}")
     return take_permit(
@@ -157,17 +157,19 @@
     )
 
 
-def _finish(state: ControlState, *, wave: Wave, vm: Vm) -> Result[Change, Failure]:
+def _finish_maintenance(state: ControlState, *, wave: Wave, vm: Vm) -> Result[Change, Failure]:
     if vm.boot_id == wave.vms[vm.name].boot_id:
         message = f"no worker process has synced from VM {vm.name} since its reboot"
         return refuse(ResultCode.WAVE_CONFLICT, message)
-    result = _change(state, vm=vm, target=VmState.DRAINED, reason="rebooted")
+    result = _change_state(state, vm=vm, target=VmState.DRAINED, reason="rebooted")
     if result.is_error():
         return result
-    return _give_back(state, wave=wave, vm=vm, reason=f"maintained by {wave.wave_id}")
+    return _return_permit(state, wave=wave, vm=vm, reason=f"maintained by {wave.wave_id}")
 
 
-def _replace(state: ControlState, *, wave: Wave, vm: Vm, replacement: str) -> Result[Change, Failure]:
+def _move_replacement(
+    state: ControlState, *, wave: Wave, vm: Vm, replacement: str
+) -> Result[Change, Failure]:
     spare = state.tables.vms.get(replacement)
     if spare is None:
         return refuse(ResultCode.UNKNOWN_VM, f"VM {replacement!r} does not exist")
@@ -181,11 +183,11 @@
     return result
 
 
-def _change(state: ControlState, *, vm: Vm, target: VmState, reason: str) -> Result[Change, Failure]:
+def _change_state(state: ControlState, *, vm: Vm, target: VmState, reason: str) -> Result[Change, Failure]:
     return change_vm(state, ChangeVm(vm=vm.name, state=target, expected_epoch=vm.epoch, reason=reason))
 
 
-def _give_back(state: ControlState, *, wave: Wave, vm: Vm, reason: str) -> Result[Change, Failure]:
+def _return_permit(state: ControlState, *, wave: Wave, vm: Vm, reason: str) -> Result[Change, Failure]:
     return return_permit(state, ReturnPermit(vm=vm.name, holder=wave.wave_id, reason=reason))
 
 
--- a/src/hyssopway/control/change_feed.py
+++ b/src/hyssopway/control/change_feed.py
@@ -12,7 +12,7 @@
     from .command import Command
 
 # Beyond this many changes a rebuild is cheaper, and a daemon without a scheduler stays small.
-MAX_NOTED = 50_000
+MAX_RECORDED_CHANGES = 50_000
 
 
 @dataclass(slots=True, kw_only=True)
@@ -33,7 +33,7 @@
     ends: list[RunEnd] = field(default_factory=list)
     everything: bool = True
 
-    def note(self, command: Command) -> None:
+    def record_change(self, command: Command) -> None:
         """Notes what an applied command changed."""
         if self.everything:
             return
@@ -47,10 +47,10 @@
                     self.jobs[job_id] = None
                 elif vm := getattr(command, "vm", ""):
                     self.vms[vm] = None
-        if len(self.jobs) + len(self.vms) + len(self.ends) > MAX_NOTED:
+        if len(self.jobs) + len(self.vms) + len(self.ends) > MAX_RECORDED_CHANGES:
             self.reset()
 
-    def note_end(self, end: RunEnd) -> None:
+    def record_run_end(self, end: RunEnd) -> None:
         """Notes the end of a run."""
         if not self.everything:
             self.ends.append(end)
@@ -73,4 +73,4 @@
         return drained
 
 
-__all__ = ["MAX_NOTED", "ChangeFeed"]
+__all__ = ["MAX_RECORDED_CHANGES", "ChangeFeed"]
--- a/src/hyssopway/control/cluster_clock.py
+++ b/src/hyssopway/control/cluster_clock.py
@@ -20,12 +20,12 @@
         last_at: Local time of that.
     """
 
-    __slots__ = ("clock", "last_at", "last_ms")
+    __slots__ = ("clock", "last_ms", "last_read_s")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
         self.last_ms = 0
-        self.last_at = clock()
+        self.last_read_s = clock()
 
     def read_ms(self, *, applied_ms: int) -> int:
         """Returns the time for the next command.
@@ -36,10 +36,10 @@
         now = self.clock()
         if applied_ms > self.last_ms:
             self.last_ms = applied_ms
-            self.last_at = now
-        elapsed_ms = int((now - self.last_at) * 1000)
+            self.last_read_s = now
+        elapsed_ms = int((now - self.last_read_s) * 1000)
         self.last_ms += elapsed_ms
-        self.last_at += elapsed_ms / 1000
+        self.last_read_s += elapsed_ms / 1000
         return self.last_ms
 
 
--- a/src/hyssopway/control/codec.py
+++ b/src/hyssopway/control/codec.py
@@ -15,24 +15,24 @@
 if TYPE_CHECKING:
     from .command import OperatorCommand
 
-_ENVELOPE = TypeAdapter(Envelope)
-_COMMAND: TypeAdapter[Command] = TypeAdapter(Command)
-_OUTCOME = TypeAdapter(Outcome)
+_ENVELOPE_ADAPTER = TypeAdapter(Envelope)
+_COMMAND_ADAPTER: TypeAdapter[Command] = TypeAdapter(Command)
+_OUTCOME_ADAPTER = TypeAdapter(Outcome)
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
     """Encodes a log entry."""
-    return _ENVELOPE.dump_json(envelope)
+    return _ENVELOPE_ADAPTER.dump_json(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
     """Decodes a log entry."""
-    return _ENVELOPE.validate_json(data)
+    return _ENVELOPE_ADAPTER.validate_json(data)
 
 
 def encode_command(command: Command) -> bytes:
     """Encodes a command on its way to the leader."""
-    return _COMMAND.dump_json(command)
+    return _COMMAND_ADAPTER.dump_json(command)
 
 
 def wrap_command(command: bytes, *, at_ms: int, wall_ms: int) -> bytes:
@@ -41,18 +41,18 @@
     Raises:
         ValueError: The bytes are not a command of this release.
     """
-    _COMMAND.validate_json(command)
+    _COMMAND_ADAPTER.validate_json(command)
     return b'{"at_ms":%d,"wall_ms":%d,"command":%b}' % (at_ms, wall_ms, command)
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
     """Encodes an outcome."""
-    return _OUTCOME.dump_json(outcome)
+    return _OUTCOME_ADAPTER.dump_json(outcome)
 
 
 def decode_outcome(data: bytes) -> Outcome:
     """Decodes an outcome."""
-    return _OUTCOME.validate_json(data)
+    return _OUTCOME_ADAPTER.validate_json(data)
 
 
 def fingerprint(command: OperatorCommand) -> str:
--- a/src/hyssopway/control/indexes.py
+++ b/src/hyssopway/control/indexes.py
@@ -40,9 +40,9 @@
     affected_vms: list[str] = field(default_factory=list)
     feed: ChangeFeed = field(default_factory=ChangeFeed)
 
-    def note(self, command: Command, *, tables: Tables) -> None:
+    def update(self, command: Command, *, tables: Tables) -> None:
         """Follows an applied command."""
-        self.feed.note(command)
+        self.feed.record_change(command)
         self.affected_vms = _find_affected_vms(command, tables=tables)
         if isinstance(command, RegisterVm | MoveVm):
             self.shapes.update(tables.vms[command.vm])
--- a/src/hyssopway/control/record/job.py
+++ b/src/hyssopway/control/record/job.py
@@ -50,7 +50,7 @@
     history: list[str] = field(default_factory=list)
     ended_ms: int = 0
 
-    def note(self, decision: str) -> None:
+    def add_history(self, decision: str) -> None:
         """Adds a decision to the bounded history."""
         self.history.append(decision)
         del self.history[:-MAX_HISTORY]
--- a/src/hyssopway/control/state.py
+++ b/src/hyssopway/control/state.py
@@ -15,7 +15,7 @@
 from .indexes import Indexes
 from .outcome import Outcome
 from .record import StoredOutcome
-from .request_ids import reused_request_id
+from .request_ids import refuse_reused_request_id
 from .tables import Tables
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
 # A resend hours later must find the first outcome: 22,000 changes a day are 917 an hour.
 MAX_STORED_OUTCOMES = 10_000
 
-_TABLES = TypeAdapter(Tables)
+_TABLES_ADAPTER = TypeAdapter(Tables)
 
 
 class ControlState:
@@ -88,11 +88,11 @@
 
     def encode_snapshot(self) -> bytes:
         """Encodes all records."""
-        return _TABLES.dump_json(self.tables)
+        return _TABLES_ADAPTER.dump_json(self.tables)
 
     def restore_snapshot(self, data: bytes) -> None:
         """Replaces all records by those of a snapshot."""
-        self.tables = _TABLES.validate_json(data)
+        self.tables = _TABLES_ADAPTER.validate_json(data)
         self.indexes = Indexes()
         self.indexes.rebuild_jobs(self.tables)
         self.indexes.shapes.rebuild(self.tables.vms.values())
@@ -104,12 +104,16 @@
                     raise ValueError(f"document in force in {environment} does not parse")
 
     def _apply_operator_command(self, *, index: int, command: OperatorCommand) -> Outcome:
-        mark = fingerprint(command)
+        command_hash = fingerprint(command)
         stored = self.tables.outcomes.get(command.request_id)
         if stored is not None:
-            return stored.outcome if stored.fingerprint == mark else reused_request_id(command.request_id)
+            return (
+                stored.outcome
+                if stored.fingerprint == command_hash
+                else refuse_reused_request_id(command.request_id)
+            )
         outcome = self._apply_once(index=index, command=command)
-        self.tables.outcomes[command.request_id] = StoredOutcome(fingerprint=mark, outcome=outcome)
+        self.tables.outcomes[command.request_id] = StoredOutcome(fingerprint=command_hash, outcome=outcome)
         while len(self.tables.outcomes) > MAX_STORED_OUTCOMES:
             del self.tables.outcomes[next(iter(self.tables.outcomes))]
         return outcome
@@ -117,7 +121,7 @@
     def _apply_once(self, *, index: int, command: Command) -> Outcome:
         match apply_command(state=self, command=command):
             case Result(tag="ok", ok=change):
-                self.indexes.note(command, tables=self.tables)
+                self.indexes.update(command, tables=self.tables)
                 return Outcome(index=index, generation=change.generation, reference=change.reference)
             case Result(error=failure):
                 return Outcome(index=index, failure=failure)
--- a/src/hyssopway/control/tables.py
+++ b/src/hyssopway/control/tables.py
@@ -6,7 +6,7 @@
 
 from .record import Claim, Job, Key, Permit, StoredDocument, StoredOutcome, Vm, Wave, Zone
 
-MAX_CUT_OFFS = 50
+MAX_STORED_CUT_OFFS = 50
 
 
 @dataclass(slots=True, kw_only=True)
@@ -48,10 +48,10 @@
     ended_jobs: list[str] = field(default_factory=list)
     cut_offs: list[tuple[int, float]] = field(default_factory=list)
 
-    def note_cut_off(self, replaced_s: float) -> None:
+    def record_cut_off(self, replaced_s: float) -> None:
         """Keeps a replaced value; of too many the two oldest become their larger one."""
         self.cut_offs.append((self.applied_index, replaced_s))
-        if len(self.cut_offs) > MAX_CUT_OFFS:
+        if len(self.cut_offs) > MAX_STORED_CUT_OFFS:
             first, second = self.cut_offs[:2]
             self.cut_offs[:2] = [(second[0], max(first[1], second[1]))]
 
--- a/src/hyssopway/workflow/apply_fleet.py
+++ b/src/hyssopway/workflow/apply_fleet.py
@@ -32,7 +32,7 @@
         return
     tables.document = document
     tables.queue_pools.update({queue.name: queue.pool for queue in document.queues})
-    indexes.take_document(document)
+    indexes.index_document(document)
 
 
 def set_zone_evacuated(tables: Tables, command: SetZoneEvacuated) -> None:
@@ -49,7 +49,7 @@
     if old is not None and command.boot < old.boot:
         return
     if old is not None and command.boot > old.boot:
-        _lose_runs(tables, indexes, vm=old, at_ms=command.at_ms)
+        _mark_runs_lost(tables, indexes, vm=old, at_ms=command.at_ms)
         old = None
     # A VM that began to drain does not return within the same boot; a late announcement must not say so.
     draining = command.draining or (old is not None and old.draining)
@@ -72,7 +72,7 @@
     vm = tables.vms.get(command.vm)
     if vm is None or vm.boot != command.boot:
         return
-    _lose_runs(tables, indexes, vm=vm, at_ms=command.at_ms)
+    _mark_runs_lost(tables, indexes, vm=vm, at_ms=command.at_ms)
     del tables.vms[command.vm]
 
 
@@ -108,7 +108,7 @@
         tables.machine_orders[machine] = command.at_ms
 
 
-def _lose_runs(tables: Tables, indexes: Indexes, *, vm: VmRecord, at_ms: int) -> None:
+def _mark_runs_lost(tables: Tables, indexes: Indexes, *, vm: VmRecord, at_ms: int) -> None:
     for key in sorted(vm.runs):
         task, _, run = key.rpartition("/")
         end = RunEnd(task=task, run=int(run), outcome=RunOutcome.LOST)
--- a/src/hyssopway/workflow/apply_workflows.py
+++ b/src/hyssopway/workflow/apply_workflows.py
@@ -108,7 +108,7 @@
     if record is not None:
         record.runs.discard(run.key)
     indexes.runs_to_stop.pop(run.key, None)
-    _take_outcome(tables, indexes, end=end, is_last=not runs, at_ms=at_ms)
+    _apply_outcome(tables, indexes, end=end, is_last=not runs, at_ms=at_ms)
 
 
 def _start_run(tables: Tables, indexes: Indexes, *, start: RunStart, fencing_token: int) -> None:
@@ -136,7 +136,7 @@
     workflow.status = WorkflowStatus.RUNNING
 
 
-def _take_outcome(tables: Tables, indexes: Indexes, *, end: RunEnd, is_last: bool, at_ms: int) -> None:
+def _apply_outcome(tables: Tables, indexes: Indexes, *, end: RunEnd, is_last: bool, at_ms: int) -> None:
     task = TaskId.parse(end.task)
     workflow = tables.workflows[task.workflow]
     step = workflow.spec.steps[task.step]
--- a/src/hyssopway/workflow/indexes.py
+++ b/src/hyssopway/workflow/indexes.py
@@ -84,14 +84,14 @@
         self.teams: dict[str, TeamPolicy] = {}
         self.team_by_key: dict[str, str] = {}
         if tables.document is not None:
-            self.take_document(tables.document)
+            self.index_document(tables.document)
         for runs in tables.runs.values():
             for run in runs:
                 self.count_run(tables=tables, run=run, sign=1)
                 if should_stop(tables, run):
                     self.runs_to_stop[run.key] = run.vm
 
-    def take_document(self, document: FleetDocument) -> None:
+    def index_document(self, document: FleetDocument) -> None:
         """Indexes a new configuration."""
         self.queues = {queue.name: queue for queue in document.queues}
         self.queues_by_host = {}
--- a/src/hyssopway/workflow/state.py
+++ b/src/hyssopway/workflow/state.py
@@ -33,13 +33,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_COMMAND: TypeAdapter[Command] = TypeAdapter(Annotated[Command, Field(discriminator="kind")])
-_TABLES = TypeAdapter(Tables)
+_COMMAND_ADAPTER: TypeAdapter[Command] = TypeAdapter(Annotated[Command, Field(discriminator="kind")])
+_TABLES_ADAPTER = TypeAdapter(Tables)
 
 
 def encode_command(command: Command) -> bytes:
     """Encodes a command for the log."""
-    return _COMMAND.dump_json(command, exclude_defaults=False)
+    return _COMMAND_ADAPTER.dump_json(command, exclude_defaults=False)
 
 
 class WorkflowState:
@@ -65,28 +65,28 @@
         self.applied_index = index
         if data:
             try:
-                command = _COMMAND.validate_json(data)
+                command = _COMMAND_ADAPTER.validate_json(data)
             except ValueError as error:
                 # A newer release wrote it; all members of this release skip it alike.
                 log_event(Event.COMMAND_UNKNOWN, index=index, error=str(error).splitlines()[0])
                 return Outcome(index=index)
-            self._apply_whole(command, index=index)
+            self._apply_or_skip(command, index=index)
         if self.on_change is not None:
             self.on_change()
         return Outcome(index=index)
 
     def encode_snapshot(self) -> bytes:
         """Encodes the state."""
-        return _TABLES.dump_json(self.tables)
+        return _TABLES_ADAPTER.dump_json(self.tables)
 
     def restore_snapshot(self, data: bytes) -> None:
         """Replaces the state."""
-        self.tables = _TABLES.validate_json(data)
+        self.tables = _TABLES_ADAPTER.validate_json(data)
         self.indexes = Indexes(self.tables)
         if self.on_change is not None:
             self.on_change()
 
-    def _apply_whole(self, command: Command, *, index: int) -> None:
+    def _apply_or_skip(self, command: Command, *, index: int) -> None:
         try:
             self._apply_command(command)
         except Exception as error:
--- a/src/hyssopway/workflow/step_progress.py
+++ b/src/hyssopway/workflow/step_progress.py
@@ -26,7 +26,7 @@
     saved: dict[int, str] = field(default_factory=dict)
 
     @staticmethod
-    def fresh(count: int) -> StepProgress:
+    def initial(count: int) -> StepProgress:
         """Returns the progress of a step that has not started."""
         return StepProgress(
             last_run=[0] * count,
--- a/src/hyssopway/workflow/workflow.py
+++ b/src/hyssopway/workflow/workflow.py
@@ -38,7 +38,7 @@
     def add_occurrence(self, number: int) -> None:
         """Makes the tasks of an occurrence known."""
         if number not in self.progress:
-            self.progress[number] = [StepProgress.fresh(step.count) for step in self.spec.steps]
+            self.progress[number] = [StepProgress.initial(step.count) for step in self.spec.steps]
 
     def is_step_ready(self, *, occurrence: int, step: int) -> bool:
         """Tells whether all steps before this one are done."""
--- a/tests/control/test_jobs.py
+++ b/tests/control/test_jobs.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from states import LocalSubmitter
 
-FINAL = {JobStatus.DONE, JobStatus.FAILED, JobStatus.CANCELLED, JobStatus.CANNOT_RUN}
+FINAL_STATUSES = {JobStatus.DONE, JobStatus.FAILED, JobStatus.CANCELLED, JobStatus.CANNOT_RUN}
 JOBS = st.sampled_from([f"j{number}" for number in range(8)])
 EPOCHS = st.integers(min_value=1, max_value=4)
 
@@ -119,7 +119,7 @@
         assert all(job.run is not None and job.run.epoch == job.runs for job in running)
         assert set(jobs) == self.accepted
         for job in jobs.values():
-            if job.status in FINAL:
+            if job.status in FINAL_STATUSES:
                 assert self.final.setdefault(job.job_id, job.status) is job.status
         assert all(jobs[name].status is status for name, status in self.final.items())
 
