--- a/src/hyssopway/workflow/__init__.py
+++ b/src/hyssopway/workflow/__init__.py
@@ -1,4 +1,4 @@
-"""Workflows of many tasks: what is agreed about them and how it changes."""
+"""Workflows of many tasks: their replicated state and the commands that change it."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/workflow/active_run.py
+++ b/src/hyssopway/workflow/active_run.py
@@ -7,14 +7,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class ActiveRun:
-    """A run that was agreed and whose end is not agreed yet.
+    """A run whose start is committed and whose end is not committed yet.
 
     Attributes:
-        task: Text form of the task's identity.
-        run: Number of the run.
-        vm: VM that it was placed on.
-        boot: Boot of that VM.
-        fencing_token: Term of the leader that agreed on it.
+        task: ID of the task in text form.
+        run: Number of the run within the task.
+        vm: VM that the run was placed on.
+        boot: Boot number of that VM.
+        fencing_token: Term of the leader that proposed the start.
     """
 
     task: str
@@ -25,7 +25,7 @@
 
     @property
     def key(self) -> str:
-        """Text form of task and run."""
+        """Key of the run, ``task/run``."""
         return f"{self.task}/{self.run}"
 
 
--- a/src/hyssopway/workflow/advisor_policy.py
+++ b/src/hyssopway/workflow/advisor_policy.py
@@ -1,4 +1,4 @@
-"""How a queue's tasks get leave to start on a VM."""
+"""Policy for asking the advisor of a queue which VMs may run a task."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdvisorPolicy:
-    """The advisor of a queue, which alone knows the VMs that may run a step.
+    """Timing of the advisor of a queue; only the advisor knows which VMs may run a step.
 
     Attributes:
-        decision_ms: Time that each question takes.
-        per_vm_ms: Time that each VM of a question takes.
-        validity_ms: How long a ticket is valid.
+        decision_ms: Fixed duration of a request to the advisor, in milliseconds.
+        per_vm_ms: Additional duration for each VM named in the request, in milliseconds.
+        validity_ms: How long a ticket from the advisor is valid, in milliseconds.
     """
 
     decision_ms: float
--- a/src/hyssopway/workflow/apply_fleet.py
+++ b/src/hyssopway/workflow/apply_fleet.py
@@ -1,4 +1,4 @@
-"""Applies changes of configuration, zones, VMs and maintenance."""
+"""Applies commands for the configuration, zones, VMs and maintenance."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def put_document(tables: Tables, indexes: Indexes, command: PutDocument) -> None:
-    """Stores a configuration whose version is higher than the one in force."""
+    """Stores a configuration if its version is higher than that of the active one."""
     document = command.document
     if tables.document is not None and document.version <= tables.document.version:
         return
@@ -36,7 +36,7 @@
 
 
 def set_zone_evacuated(tables: Tables, command: SetZoneEvacuated) -> None:
-    """Takes a zone out of service or back."""
+    """Marks a zone as evacuated, or puts it back into service."""
     if command.evacuated:
         tables.evacuated.add(command.zone)
     else:
@@ -44,14 +44,15 @@
 
 
 def register_vm(tables: Tables, indexes: Indexes, command: RegisterVm) -> None:
-    """Takes in what a VM says of itself."""
+    """Stores what a VM announced about itself; marks the runs of an earlier boot as lost."""
     old = tables.vms.get(command.vm)
     if old is not None and command.boot < old.boot:
         return
     if old is not None and command.boot > old.boot:
         _mark_runs_lost(tables, indexes, vm=old, at_ms=command.at_ms)
         old = None
-    # A VM that began to drain does not return within the same boot; a late announcement must not say so.
+    # A VM that started to drain never stops draining within the same boot. An announcement that was sent before
+    # the drain may arrive late and must not clear the flag.
     draining = command.draining or (old is not None and old.draining)
     tables.vms[command.vm] = VmRecord(
         vm_id=command.vm,
@@ -68,7 +69,7 @@
 
 
 def remove_vm(tables: Tables, indexes: Indexes, command: RemoveVm) -> None:
-    """Forgets a VM."""
+    """Deletes a VM and marks its runs as lost."""
     vm = tables.vms.get(command.vm)
     if vm is None or vm.boot != command.boot:
         return
@@ -77,7 +78,7 @@
 
 
 def start_wave(tables: Tables, command: StartWave) -> None:
-    """Starts a wave unless its number is known."""
+    """Stores a wave unless its number is known."""
     if command.number not in tables.waves:
         tables.waves[command.number] = WaveRecord(
             number=command.number,
@@ -88,7 +89,7 @@
 
 
 def begin_maintenance(tables: Tables, command: BeginMaintenance) -> None:
-    """Notes that the maintenance of a machine is about to be ordered."""
+    """Records that the maintenance of a machine is about to be requested from the platform."""
     wave = tables.waves.get(command.wave)
     if wave is not None:
         wave.begun.setdefault(command.machine, command.at_ms)
@@ -96,14 +97,14 @@
 
 
 def confirm_maintenance(tables: Tables, command: ConfirmMaintenance) -> None:
-    """Notes that the maintenance of a machine has begun."""
+    """Records that the maintenance of a machine has begun."""
     wave = tables.waves.get(command.wave)
     if wave is not None:
         wave.confirmed.add(command.machine)
 
 
 def record_machine_orders(tables: Tables, command: RecordMachineOrders) -> None:
-    """Notes that machines are about to be ordered to move."""
+    """Records that the platform is about to be asked to move machines."""
     for machine in command.machines:
         tables.machine_orders[machine] = command.at_ms
 
--- a/src/hyssopway/workflow/apply_workflows.py
+++ b/src/hyssopway/workflow/apply_workflows.py
@@ -1,4 +1,4 @@
-"""Applies changes of workflows and their runs."""
+"""Applies commands for workflows and their runs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def accept_workflow(tables: Tables, indexes: Indexes, command: AcceptWorkflow) -> None:
-    """Stores a workflow unless its identity is known."""
+    """Stores a workflow unless its ID is known."""
     if command.workflow_id in tables.workflows:
         return
     workflow = Workflow(
@@ -43,21 +43,21 @@
 
 
 def add_occurrence(tables: Tables, command: AddOccurrence) -> None:
-    """Makes an occurrence of a scheduled workflow due."""
+    """Adds the tasks of an occurrence of a scheduled workflow that is due."""
     workflow = tables.workflows.get(command.workflow_id)
     if workflow is not None and not workflow.status.is_final:
         workflow.add_occurrence(command.occurrence)
 
 
 def cancel_workflow(tables: Tables, indexes: Indexes, command: CancelWorkflow) -> None:
-    """Cancels a workflow that has not ended; its runs stay known until they end."""
+    """Cancels a workflow that has not ended; the records of its runs stay until the runs end."""
     workflow = tables.workflows.get(command.workflow_id)
     if workflow is not None and not workflow.status.is_final:
         end_workflow(tables, indexes, workflow, status=WorkflowStatus.CANCELLED, at_ms=command.at_ms)
 
 
 def delete_workflows(tables: Tables, command: DeleteWorkflows) -> None:
-    """Removes workflows that have ended and of which nothing runs any more."""
+    """Deletes workflows that have ended and have no run in progress."""
     running = {TaskId.parse(task).workflow for task in tables.runs}
     for workflow_id in command.workflow_ids:
         workflow = tables.workflows.get(workflow_id)
@@ -68,7 +68,7 @@
 def end_workflow(
     tables: Tables, indexes: Indexes, workflow: Workflow, *, status: WorkflowStatus, at_ms: int
 ) -> None:
-    """Ends a workflow; nothing of it starts from now on, and what runs is unwanted."""
+    """Ends a workflow: no run of it starts any more, and its runs in progress are to be stopped."""
     workflow.status = status
     workflow.ended_ms = at_ms
     indexes.open_workflows.pop(workflow.workflow_id, None)
@@ -80,13 +80,13 @@
 
 
 def start_runs(tables: Tables, indexes: Indexes, command: StartRuns) -> None:
-    """Agrees on the starts that are still allowed."""
+    """Starts the runs of a command that are still allowed and skips the others."""
     for start in command.starts:
         _start_run(tables, indexes, start=start, fencing_token=command.fencing_token)
 
 
 def end_runs(tables: Tables, indexes: Indexes, command: EndRuns) -> None:
-    """Agrees on ends; what is known already changes nothing."""
+    """Ends the runs of a command; an end that is already known changes nothing."""
     vm = tables.vms.get(command.vm)
     if vm is not None and vm.boot == command.boot:
         vm.last_end = max(vm.last_end, command.last_end)
@@ -97,7 +97,7 @@
 def end_run(tables: Tables, indexes: Indexes, *, end: RunEnd, vm: str, boot: int, at_ms: int) -> None:
     """Ends one run if it is in progress on this boot of the VM."""
     runs = tables.runs.get(end.task, [])
-    run = next((one for one in runs if (one.run, one.vm, one.boot) == (end.run, vm, boot)), None)
+    run = next((item for item in runs if (item.run, item.vm, item.boot) == (end.run, vm, boot)), None)
     if run is None:
         return
     indexes.count_run(tables=tables, run=run, sign=-1)
--- a/src/hyssopway/workflow/capacity.py
+++ b/src/hyssopway/workflow/capacity.py
@@ -1,4 +1,4 @@
-"""Amounts of processor, memory and accelerators."""
+"""Amounts of CPU, memory and accelerators."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Capacity:
-    """Capacity of a VM or limit of a team.
+    """Capacity of a VM, or upper limit of a team.
 
     Attributes:
         cpu_millis: Thousandths of a core.
-        memory_mb: Memory.
+        memory_mb: Memory in megabytes.
         accelerators: Number of accelerators.
     """
 
--- a/src/hyssopway/workflow/commands.py
+++ b/src/hyssopway/workflow/commands.py
@@ -1,4 +1,4 @@
-"""Changes of the agreed state of workflows."""
+"""Commands that change the replicated state of workflows."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PutDocument:
-    """Stores a configuration; a version that is not higher changes nothing."""
+    """Stores a configuration; does nothing unless its version is higher than that of the active one."""
 
     document: FleetDocument
     kind: Literal["document"] = "document"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SetZoneEvacuated:
-    """Takes a zone out of service or back."""
+    """Marks a zone as evacuated, or puts it back into service."""
 
     zone: str
     evacuated: bool
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AcceptWorkflow:
-    """Accepts a workflow; a known identity changes nothing."""
+    """Accepts a workflow; does nothing if its ID is known."""
 
     workflow_id: str
     queue: str
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddOccurrence:
-    """Makes an occurrence of a scheduled workflow due."""
+    """Adds the tasks of an occurrence of a scheduled workflow that is due."""
 
     workflow_id: str
     occurrence: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CancelWorkflow:
-    """Cancels a workflow; one that has ended stays as it is."""
+    """Cancels a workflow; does nothing if it has ended."""
 
     workflow_id: str
     at_ms: int
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartRuns:
-    """Agrees on starts before they are ordered; starts that are no longer allowed are left out."""
+    """Commits the start of runs before the VMs are told; starts that are no longer allowed are skipped."""
 
     fencing_token: int
     starts: tuple[RunStart, ...]
@@ -78,10 +78,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndRuns:
-    """Agrees on ends of runs on one boot of a VM.
+    """Commits the ends of runs on one boot of a VM.
 
     Attributes:
-        last_end: Number of the last end that the VM listed; 0 when the ends were concluded and not listed.
+        last_end: Number of the last end that the VM reported; 0 if the leader inferred the ends.
     """
 
     vm: str
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegisterVm:
-    """Takes in what a VM says of itself; runs of an earlier boot are lost."""
+    """Stores what a VM announced about itself; runs of an earlier boot are lost."""
 
     vm: str
     boot: int
@@ -110,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveVm:
-    """Forgets a VM that is gone for good; its runs are lost."""
+    """Deletes a VM that no longer exists; its runs are lost."""
 
     vm: str
     boot: int
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartWave:
-    """Starts a maintenance wave; a known number changes nothing."""
+    """Starts a maintenance wave; does nothing if its number is known."""
 
     number: int
     machines: tuple[str, ...]
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BeginMaintenance:
-    """Agrees that the maintenance of a machine is about to be ordered."""
+    """Commits that the maintenance of a machine is about to be requested from the platform."""
 
     wave: int
     machine: str
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfirmMaintenance:
-    """Notes that the maintenance of a machine has begun, or that the machine is gone."""
+    """Records that the maintenance of a machine has begun, or that the machine is gone."""
 
     wave: int
     machine: str
@@ -150,7 +150,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecordMachineOrders:
-    """Agrees that machines are about to be ordered to move, so that a successor leaves them alone for a while."""
+    """Commits that the platform is about to be asked to move machines.
+
+    A new leader waits for some time before it asks again about one of these machines.
+    """
 
     machines: tuple[str, ...]
     at_ms: int
@@ -159,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DeleteWorkflows:
-    """Removes workflows that ended long ago; one that has not ended or still has a run stays."""
+    """Deletes workflows that ended long ago; one that has not ended or still has a run is kept."""
 
     workflow_ids: tuple[str, ...]
     kind: Literal["forget"] = "forget"
--- a/src/hyssopway/workflow/fleet_document.py
+++ b/src/hyssopway/workflow/fleet_document.py
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetDocument:
-    """Configuration of one version.
+    """One version of the configuration.
 
     Attributes:
-        version: Version; the highest takes effect.
-        queues: All queues.
-        pools: All pools.
-        teams: All teams.
-        max_body_bytes: Longest body of a request.
-        source: The document as operators sent it.
+        version: Version number; the highest one is active.
+        queues: Queues.
+        pools: Pools.
+        teams: Teams.
+        max_body_bytes: Maximum size of a request body.
+        source: Text of the document as operators sent it.
     """
 
     version: int
--- a/src/hyssopway/workflow/indexes.py
+++ b/src/hyssopway/workflow/indexes.py
@@ -1,4 +1,4 @@
-"""Views of the agreed data that are kept up to date instead of being searched."""
+"""Indexes over the replicated tables, updated with each command to avoid searches."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class Usage:
-    """What a team, or a VM, has running.
+    """Resources and runs in use by a team or on a VM.
 
     Attributes:
         cpu_millis: Thousandths of a core.
-        memory_mb: Memory.
-        accelerators: Accelerators.
-        serving: Runs that must keep a target of their response times.
-        filling: Runs that use only the processor that others leave.
+        memory_mb: Memory in megabytes.
+        accelerators: Number of accelerators.
+        latency_bound: Number of runs that have a response-time target.
+        best_effort: Number of runs that use only spare CPU.
     """
 
     __slots__ = ("accelerators", "best_effort", "cpu_millis", "latency_bound", "memory_mb")
@@ -37,7 +37,7 @@
         self.best_effort = 0
 
     def add(self, step: Step, *, sign: int) -> None:
-        """Counts a run of a step, or takes it out with a negative sign."""
+        """Adds a run of a step, or removes it if the sign is -1."""
         self.cpu_millis += sign * step.cpu_millis
         self.memory_mb += sign * step.memory_mb
         self.accelerators += sign * step.accelerators
@@ -48,17 +48,17 @@
 
 
 class Indexes:
-    """Derived views.
+    """Indexes that are derived from the tables and in no snapshot.
 
     Attributes:
-        open_workflows: Identities of workflows that have not ended, in the order of acceptance.
-        team_use: What each team has running.
-        vm_use: What each VM has running; the processor of tasks that fill does not count.
-        unwanted: Keys of runs in progress that are to be stopped, with their VM.
+        open_workflows: IDs of workflows that have not ended, in order of acceptance.
+        team_usage: Resources in use by each team.
+        vm_usage: Resources in use on each VM, without the CPU of best-effort tasks.
+        runs_to_stop: VM by the key of each run in progress that is to be stopped.
         queues: Queues by name.
         queues_by_host: Queues by host name, longest path prefix first.
         teams: Teams by name.
-        team_by_key: Team of each key.
+        team_by_key: Team name by API key.
     """
 
     __slots__ = (
@@ -101,7 +101,7 @@
         self.team_by_key = {key: team.name for team in document.teams for key in team.keys}
 
     def count_run(self, *, tables: Tables, run: ActiveRun, sign: int) -> None:
-        """Counts a run for its team and its VM."""
+        """Adds a run to the usage of its team and its VM, or removes it if the sign is -1."""
         task = TaskId.parse(run.task)
         workflow = tables.workflows[task.workflow]
         step = workflow.spec.steps[task.step]
@@ -112,22 +112,22 @@
             vm_usage.cpu_millis -= sign * step.cpu_millis
 
     def fits_limit(self, *, workflow: Workflow, step: Step) -> bool:
-        """Tells whether one more run of a step stays within the upper limit of its team."""
+        """Returns whether one more run of a step stays within the upper limit of its team."""
         team = self.teams.get(workflow.team)
         if team is None:
             return True
-        use = self.team_usage.get(workflow.team)
-        if use is None:
-            use = Usage()
+        usage = self.team_usage.get(workflow.team)
+        if usage is None:
+            usage = Usage()
         limit = team.upper_limit
         return (
-            (not limit.cpu_millis or use.cpu_millis + step.cpu_millis <= limit.cpu_millis)
-            and (not limit.memory_mb or use.memory_mb + step.memory_mb <= limit.memory_mb)
-            and (not limit.accelerators or use.accelerators + step.accelerators <= limit.accelerators)
+            (not limit.cpu_millis or usage.cpu_millis + step.cpu_millis <= limit.cpu_millis)
+            and (not limit.memory_mb or usage.memory_mb + step.memory_mb <= limit.memory_mb)
+            and (not limit.accelerators or usage.accelerators + step.accelerators <= limit.accelerators)
         )
 
     def find_queue(self, *, host: str, path: str) -> Queue | None:
-        """Returns the queue with the longest prefix that a path begins with."""
+        """Returns the queue with the longest path prefix that matches, or None."""
         for queue in self.queues_by_host.get(host, ()):
             if path.startswith(queue.path_prefix):
                 return queue
@@ -135,7 +135,7 @@
 
 
 def should_stop(tables: Tables, run: ActiveRun) -> bool:
-    """Tells whether a run in progress serves nothing any more."""
+    """Returns whether a run in progress is no longer needed: its task is done or its workflow has ended."""
     task = TaskId.parse(run.task)
     workflow = tables.workflows[task.workflow]
     return workflow.status.is_final or workflow.progress[task.occurrence][task.step].done[task.number]
--- a/src/hyssopway/workflow/pool_policy.py
+++ b/src/hyssopway/workflow/pool_policy.py
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolPolicy:
-    """A pool as operators describe it.
+    """A pool as configured by operators.
 
     Attributes:
         name: Name of the pool.
-        standby: Whether its VMs are switched off until they move to another pool.
-        guards_capacity: Whether its VMs refuse what does not fit.
+        standby: Whether its VMs are powered off until they move to another pool.
+        guards_capacity: Whether its VMs reject tasks that exceed their free capacity.
     """
 
     name: str
--- a/src/hyssopway/workflow/queue.py
+++ b/src/hyssopway/workflow/queue.py
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Queue:
-    """Where submitters hand in workflows.
+    """A queue that submitters send workflows to, as configured by operators.
 
     Attributes:
         name: Name of the queue.
-        host: Host name of its address.
-        path_prefix: Beginning of its paths.
+        host: Host name that requests for the queue are sent to.
+        path_prefix: Prefix of the request paths of the queue.
         pool: Pool whose VMs run its tasks.
-        priority: Order among queues; 0 comes first.
-        max_attempts: Failed runs of a task after which the workflow fails.
-        open_to_all: Whether no key is needed.
-        timeout_ms: Longest wait for an answer.
-        target_latency_ms: Time beside the work itself within which a workflow should end.
-        stretch: Factor on the longest chain of work within which a workflow should end.
-        advisor: How tasks get leave to start on a VM; None when they need none.
+        priority: Priority among queues; 0 is the highest.
+        max_attempts: Number of failed runs of one task after which the workflow fails.
+        open_to_all: Whether requests need no API key.
+        timeout_ms: Maximum time until a request is answered.
+        target_latency_ms: Time in addition to the work itself within which a workflow should complete.
+        stretch: Factor on the critical path of a workflow within which it should complete.
+        advisor: Policy for asking the advisor before a start; None if the queue has no advisor.
     """
 
     name: str
--- a/src/hyssopway/workflow/run_end.py
+++ b/src/hyssopway/workflow/run_end.py
@@ -1,4 +1,4 @@
-"""The end of a run, as reported or concluded."""
+"""The end of a run, as reported by its VM or inferred by the leader."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """End of one run.
 
     Attributes:
-        task: Text form of the task's identity.
-        run: Number of the run.
-        outcome: How it ended.
-        checkpoint: Last checkpoint; empty for none.
+        task: ID of the task in text form.
+        run: Number of the run within the task.
+        outcome: How the run ended.
+        checkpoint: Last checkpoint; empty if there is none.
     """
 
     task: str
--- a/src/hyssopway/workflow/state.py
+++ b/src/hyssopway/workflow/state.py
@@ -38,18 +38,19 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Encodes a command for the log."""
+    """Encodes a command as an entry of the replicated log."""
     return _COMMAND_ADAPTER.dump_json(command, exclude_defaults=False)
 
 
 class WorkflowState:
-    """Applies commands in the order of the log; the same log gives the same state on every member.
+    """Applies the commands of the replicated log; deterministic, so that all members reach the same state.
 
     Attributes:
-        tables: Agreed data.
-        indexes: Views of it.
-        applied_index: Index of the last entry applied.
-        on_change: Called after each entry.
+        tables: Replicated data.
+        indexes: Indexes derived from the tables.
+        applied_index: Log index of the last entry applied.
+        on_change: Called after an entry is applied or a snapshot restored, but not for an entry that was skipped
+            as unknown.
     """
 
     __slots__ = ("applied_index", "indexes", "on_change", "tables")
@@ -61,13 +62,13 @@
         self.on_change: Callable[[], None] | None = None
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
-        """Applies one committed entry; an empty one changes nothing."""
+        """Applies one committed log entry; an empty entry changes nothing."""
         self.applied_index = index
         if data:
             try:
                 command = _COMMAND_ADAPTER.validate_json(data)
             except ValueError as error:
-                # A newer release wrote it; all members of this release skip it alike.
+                # A newer release wrote the entry; every member of this release skips it.
                 log_event(Event.COMMAND_UNKNOWN, index=index, error=str(error).splitlines()[0])
                 return Outcome(index=index)
             self._apply_or_skip(command, index=index)
@@ -76,11 +77,11 @@
         return Outcome(index=index)
 
     def encode_snapshot(self) -> bytes:
-        """Encodes the state."""
+        """Encodes the tables as a snapshot."""
         return _TABLES_ADAPTER.dump_json(self.tables)
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces the state."""
+        """Replaces the tables by those of a snapshot and rebuilds the indexes."""
         self.tables = _TABLES_ADAPTER.validate_json(data)
         self.indexes = Indexes(self.tables)
         if self.on_change is not None:
@@ -90,8 +91,8 @@
         try:
             self._apply_command(command)
         except Exception as error:
-            # The same on every member. Without this an entry that cannot be applied holds up all that follow, also
-            # after a restart.
+            # The failure is the same on every member. Without this handler, one entry that cannot be applied would
+            # block all later entries, also after a restart.
             log_event(Event.COMMAND_FAILED, index=index, kind=command.kind, error=repr(error))
 
     def _apply_command(self, command: Command) -> None:
--- a/src/hyssopway/workflow/step.py
+++ b/src/hyssopway/workflow/step.py
@@ -7,28 +7,28 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Step:
-    """A number of equal tasks and what they need.
+    """A group of identical tasks and their requirements.
 
     Attributes:
         count: Number of tasks.
-        cpu_millis: Processor of one task in thousandths of a core.
-        memory_mb: Memory of one task.
+        cpu_millis: CPU of one task in thousandths of a core.
+        memory_mb: Memory of one task in megabytes.
         accelerators: Accelerators of one task.
-        estimate_ms: Rough duration of one task, as the submitter sees it.
-        after: Earlier steps, by number, that must be done first.
-        checkpointing: Whether tasks save their progress.
-        gang: Whether the tasks work only together.
-        tightly_coupled: Whether the tasks are slower on more than one rack.
-        label: Label that a VM must have; empty for any.
-        data_rack: Rack that holds the data; empty for none.
-        spread_limit: Most tasks of the step on one VM; 0 for no limit.
-        duplicates: Whether copies of a task may run in parallel.
+        estimate_ms: Duration of one task as estimated by the submitter.
+        after: Numbers of earlier steps that must be done first.
+        checkpointing: Whether tasks save checkpoints.
+        gang: Whether the tasks must run at the same time (gang scheduling).
+        tightly_coupled: Whether the tasks are slower when spread over several racks.
+        label: Label that a VM must have; empty for any VM.
+        data_rack: Rack that holds the input data; empty if there is none.
+        spread_limit: Maximum number of tasks of the step on one VM; 0 for no limit.
+        duplicates: Whether several runs of a task may be in progress at the same time.
         long_running: Whether tasks run until the job is cancelled.
-        image: What the tasks run; tasks of one image behave alike.
-        target_ms: Tail of the response time that a long-running task must keep; 0 for none.
-        fills: Whether tasks use only the processor that others leave.
-        disruption_allowance: Tasks of a long-running step that the system may interrupt at the same time;
-            None when the step sets no allowance.
+        image: Image that the tasks run; tasks of one image are taken to behave alike.
+        target_ms: Target for the tail latency of a long-running task; 0 for none.
+        fills: Whether the tasks are best-effort: they use only CPU that other tasks leave idle.
+        disruption_allowance: Number of tasks of a long-running step that may be interrupted at the same time;
+            None if the step sets no allowance.
     """
 
     count: int
--- a/src/hyssopway/workflow/step_progress.py
+++ b/src/hyssopway/workflow/step_progress.py
@@ -1,4 +1,4 @@
-"""How far one step of one occurrence is."""
+"""Progress of one step of one occurrence."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class StepProgress:
-    """Compact progress of the tasks of a step; lists are indexed by task.
+    """Progress of the tasks of a step; the lists are indexed by task number.
 
     Attributes:
         last_run: Number of the last run that was started; 0 before the first.
-        failures: Runs that ended failed.
+        failures: Number of failed runs.
         done: Whether the task is done.
         pending: Tasks that are not done and have no run in progress.
-        saved: Last checkpoint by task.
-        open_count: Tasks that are not done.
+        saved: Last checkpoint by task number.
+        open_count: Number of tasks that are not done.
     """
 
     last_run: list[int]
--- a/src/hyssopway/workflow/tables.py
+++ b/src/hyssopway/workflow/tables.py
@@ -1,4 +1,4 @@
-"""The agreed data of workflows, VMs and configuration."""
+"""The replicated tables of workflows, VMs and configuration."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Tables:
-    """Everything that the log agrees on.
+    """All data that is replicated by the log and kept in snapshots.
 
     Attributes:
-        document: Configuration in force; None before the first.
-        workflows: Workflows by identity.
-        vms: VMs by identity.
-        runs: Runs in progress by task name; several only for steps that allow duplicates.
-        evacuated: Zones out of service.
+        document: Active configuration; None before the first.
+        workflows: Workflows by ID.
+        vms: VMs by ID.
+        runs: Runs in progress by task name; more than one only for steps that allow duplicates.
+        evacuated: Zones that are out of service.
         waves: Maintenance waves by number.
-        machine_orders: Wall-clock time of the last order about each machine.
-        queue_pools: Last known pool of each queue; outlives a queue that was dropped from the configuration.
+        machine_orders: Wall-clock time of the last request to the platform about each machine.
+        queue_pools: Last known pool of each queue; kept when a queue is removed from the configuration.
     """
 
     document: FleetDocument | None = None
--- a/src/hyssopway/workflow/task_id.py
+++ b/src/hyssopway/workflow/task_id.py
@@ -1,4 +1,4 @@
-"""Names of tasks."""
+"""IDs of tasks."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TaskId(NamedTuple):
-    """Identity of one task; a tuple, since tens of thousands are keys of dictionaries.
+    """ID of a task; a tuple, as tens of thousands of them are dictionary keys.
 
     Attributes:
-        workflow: Identity of the workflow.
+        workflow: ID of the workflow.
         occurrence: Number of the occurrence, from 0.
         step: Number of the step, from 0.
-        number: Number of the task in its step, from 0.
+        number: Number of the task within its step, from 0.
     """
 
     workflow: str
@@ -22,20 +22,20 @@
 
     @property
     def name(self) -> str:
-        """Text form, ``workflow.occurrence.step.index``."""
+        """Text form, ``workflow.occurrence.step.number``."""
         return f"{self.workflow}.{self.occurrence}.{self.step}.{self.number}"
 
     @property
     def step_name(self) -> str:
-        """Text form of its step, ``workflow.occurrence.step``."""
+        """Text form of the step of the task, ``workflow.occurrence.step``."""
         return f"{self.workflow}.{self.occurrence}.{self.step}"
 
     @staticmethod
     def parse(name: str) -> TaskId:
-        """Reads the text form.
+        """Parses the text form.
 
         Raises:
-            ValueError: The text names no task.
+            ValueError: The text is not the ID of a task.
         """
         workflow, occurrence, step, number = name.split(".")
         return TaskId(workflow, int(occurrence), int(step), int(number))
--- a/src/hyssopway/workflow/team_policy.py
+++ b/src/hyssopway/workflow/team_policy.py
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TeamPolicy:
-    """A team as operators describe it.
+    """A team as configured by operators.
 
     Attributes:
         name: Name of the team.
-        keys: Keys that its calls carry.
-        priority: Order among teams; 0 comes first.
-        weight: Share when all is full.
-        upper_limit: What it may have running; an amount of 0 is no limit.
+        keys: API keys of the team.
+        priority: Priority among teams; 0 is the highest.
+        weight: Relative share of the capacity while demand exceeds it.
+        upper_limit: Maximum amounts that its runs may use together; an amount of 0 means no limit.
     """
 
     name: str
--- a/src/hyssopway/workflow/vm_record.py
+++ b/src/hyssopway/workflow/vm_record.py
@@ -1,4 +1,4 @@
-"""A worker VM as agreed."""
+"""The replicated record of a worker VM."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
     """A worker VM that announced itself.
 
     Attributes:
-        vm_id: Identity of this life of the VM.
-        boot: Wall-clock milliseconds of its start; a restart under the same identity has a higher one.
-        address: Address of its interface.
+        vm_id: ID of the VM instance.
+        boot: Wall-clock time of its start in milliseconds; higher after a restart under the same ID.
+        address: Host and port of its interface.
         pool: Pool that it belongs to.
         zone: Availability zone.
         labels: Kind and rack.
-        capacity: What it can run.
-        draining: Whether it said that it leaves.
-        last_end: Number of the last end of this boot that is agreed.
+        capacity: Total capacity for runs.
+        draining: Whether it announced that it is draining.
+        last_end: Number of the last reported end of this boot that is committed.
         runs: Keys of runs in progress, ``task/run``.
     """
 
--- a/src/hyssopway/workflow/wave_record.py
+++ b/src/hyssopway/workflow/wave_record.py
@@ -1,4 +1,4 @@
-"""A maintenance wave as agreed."""
+"""The replicated record of a maintenance wave."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class WaveRecord:
-    """A wave over machines that each need one maintenance.
+    """A maintenance wave: a set of machines that each have to be maintained once.
 
     Attributes:
         number: Number of the wave.
-        machines: Machines that are due.
-        deadline_ms: Wall-clock time by which all should have begun.
-        max_down: Most machines of the wave that may be down at once.
-        begun: Machines whose maintenance was ordered, with the wall-clock time of the order.
-        confirmed: Machines whose order the platform confirmed, or that are gone.
+        machines: Machines to be maintained.
+        deadline_ms: Wall-clock time by which all maintenance should have begun.
+        max_down: Maximum number of machines of the wave that may be down at the same time.
+        begun: Wall-clock time of the request to the platform, by machine.
+        confirmed: Machines whose request the platform confirmed, or that are gone.
     """
 
     number: int
@@ -27,7 +27,7 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether every machine has begun its maintenance."""
+        """Whether the maintenance of every machine has begun or the machine is gone."""
         return len(self.confirmed) >= len(self.machines)
 
 
--- a/src/hyssopway/workflow/workflow.py
+++ b/src/hyssopway/workflow/workflow.py
@@ -14,15 +14,15 @@
     """An accepted workflow.
 
     Attributes:
-        workflow_id: Identity chosen by the submitter.
+        workflow_id: ID chosen by the submitter.
         queue: Name of its queue.
-        team: Team whose key came with it; empty on a queue open to all.
-        spec: What was submitted.
+        team: Team whose API key it was submitted with; empty on a queue that needs no key.
+        spec: Specification as submitted.
         accepted_ms: Wall-clock time of acceptance.
-        status: State that submitters see.
-        progress: Progress by occurrence and step; an occurrence is added when it is due.
+        status: Status as shown to submitters.
+        progress: Progress by occurrence, then by step; an occurrence is added when it is due.
         occurrences_done: Number of occurrences whose tasks are all done.
-        ended_ms: Wall-clock time of the end; 0 before.
+        ended_ms: Wall-clock time of the end; 0 until then.
     """
 
     workflow_id: str
@@ -36,12 +36,12 @@
     ended_ms: int = 0
 
     def add_occurrence(self, number: int) -> None:
-        """Makes the tasks of an occurrence known."""
+        """Adds the tasks of an occurrence unless they are known."""
         if number not in self.progress:
             self.progress[number] = [StepProgress.initial(step.count) for step in self.spec.steps]
 
     def is_step_ready(self, *, occurrence: int, step: int) -> bool:
-        """Tells whether all steps before this one are done."""
+        """Returns whether all steps that a step depends on are done."""
         steps = self.progress[occurrence]
         return all(steps[earlier].open_count == 0 for earlier in self.spec.steps[step].after)
 
--- a/src/hyssopway/workflow/workflow_status.py
+++ b/src/hyssopway/workflow/workflow_status.py
@@ -1,4 +1,4 @@
-"""States of a workflow."""
+"""Status of a workflow."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WorkflowStatus(StrEnum):
-    """State of a workflow as submitters see it."""
+    """Status of a workflow as shown to submitters."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -16,7 +16,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing of the workflow runs from now on."""
+        """Whether the workflow has ended and starts no further run."""
         return self not in {WorkflowStatus.QUEUED, WorkflowStatus.RUNNING}
 
 
--- a/tests/workflow/conftest.py
+++ b/tests/workflow/conftest.py
@@ -1,4 +1,4 @@
-"""A state machine with one queue, one team and two VMs."""
+"""Builders of commands, and a state machine with one queue, one team and two VMs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Log:
-    """Applies commands to a state one after another."""
+    """Applies commands to a state as consecutive log entries."""
 
     def __init__(self, state):
         self.state = state
@@ -61,20 +61,20 @@
 
 
 def make_workflow(name, *, steps=None, **spec):
-    chosen = steps or (Step(count=2, cpu_millis=1000, estimate_ms=100), Step(count=1, after=(0,)))
+    steps = steps or (Step(count=2, cpu_millis=1000, estimate_ms=100), Step(count=1, after=(0,)))
     return AcceptWorkflow(
         workflow_id=name,
         queue="plans",
         team="pantry",
-        spec=WorkflowSpec(specification="text", steps=chosen, **spec),
+        spec=WorkflowSpec(specification="text", steps=steps, **spec),
         at_ms=5,
     )
 
 
 @pytest.fixture
 def log():
-    built = Log(WorkflowState())
-    built.apply(PutDocument(document=make_document()))
+    result = Log(WorkflowState())
+    result.apply(PutDocument(document=make_document()))
     for name in ("vm-1", "vm-2"):
-        built.apply(make_vm(name))
-    return built
+        result.apply(make_vm(name))
+    return result
--- a/tests/workflow/test_state.py
+++ b/tests/workflow/test_state.py
@@ -1,4 +1,4 @@
-"""Rules that hold when a command is applied, whoever proposed it."""
+"""Checks that are made when a command is applied, whichever leader proposed it."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     return log.state.tables.workflows[name].status
 
 
-def test_entry_that_cannot_be_applied_holds_up_nothing(log, monkeypatch):
-    """Guards against one entry of the log that stops every member, again after each restart."""
+def test_entry_that_fails_does_not_block_later_entries(log, monkeypatch):
+    """Guards against an entry whose failure stops every member and does so again after each restart."""
 
     def fail(*_):
         raise KeyError("w")
@@ -50,7 +50,7 @@
 
 
 def test_workflow_completes_when_all_steps_are_done(log):
-    """Guards against a workflow shown as completed too early or never."""
+    """Guards against a workflow that is reported as completed too early or never."""
     log.apply(make_workflow("w"))
     for task in ("w.0.0.0", "w.0.0.1", "w.0.1.0"):
         assert status(log) is not WorkflowStatus.COMPLETED
@@ -60,8 +60,8 @@
     assert not log.state.tables.runs
 
 
-def test_only_workflows_without_runs_are_forgotten(log):
-    """Guards against a run without its workflow, and against an open workflow that is lost."""
+def test_only_ended_workflows_without_runs_are_deleted(log):
+    """Guards against deleting a workflow that has a run in progress or has not ended."""
     for name in ("done", "open", "running"):
         log.apply(make_workflow(name))
     for task in ("done.0.0.0", "done.0.0.1", "done.0.1.0"):
@@ -77,7 +77,7 @@
 
 
 def test_second_acceptance_changes_nothing(log):
-    """Guards against a resent hand-in that resets the progress of a workflow."""
+    """Guards against a retried submission that resets the progress of a workflow."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     log.apply(make_workflow("w"))
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "invalidate",
     [
         pytest.param(lambda log: end(log, "w.0.0.0", RunOutcome.DONE), id="task done"),
         pytest.param(lambda log: log.apply(CancelWorkflow(workflow_id="w", at_ms=1)), id="cancelled"),
@@ -98,19 +98,19 @@
         pytest.param(lambda _: None, id="run in progress"),
     ],
 )
-def test_start_that_is_not_allowed_any_more_is_left_out(log, spoil):
-    """Guards against a start that was decided before something else was agreed."""
+def test_start_that_is_no_longer_allowed_is_skipped(log, invalidate):
+    """Guards against a start that was proposed before another command made it invalid."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
-    spoil(log)
+    invalidate(log)
     before = {run.key for runs in log.state.tables.runs.values() for run in runs}
     start(log, "w.0.0.0", run=2, vm="vm-2")
     after = {run.key for runs in log.state.tables.runs.values() for run in runs}
     assert after == before
 
 
-def test_start_after_the_end_of_a_run_that_failed(log):
-    """Guards against a task that is never tried again."""
+def test_failed_task_can_be_started_again(log):
+    """Guards against a failed task that is never retried."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     end(log, "w.0.0.0", RunOutcome.FAILED)
@@ -118,8 +118,8 @@
     assert [run.key for run in log.state.tables.runs["w.0.0.0"]] == ["w.0.0.0/2"]
 
 
-def test_workflow_fails_after_its_attempts(log):
-    """Guards against more failed runs than the queue allows."""
+def test_workflow_fails_after_the_maximum_number_of_attempts(log):
+    """Guards against more failed runs of a task than the queue allows."""
     log.apply(make_workflow("w"))
     for run in (1, 2):
         start(log, "w.0.0.0", run=run)
@@ -129,7 +129,7 @@
 
 @pytest.mark.parametrize("outcome", [RunOutcome.STOPPED, RunOutcome.LAPSED, RunOutcome.LOST])
 def test_only_failures_count_as_attempts(log, outcome):
-    """Guards against a workflow that fails because of faults of the system."""
+    """Guards against a workflow that fails because the system stopped or lost its runs."""
     log.apply(make_workflow("w"))
     for run in range(1, 6):
         start(log, "w.0.0.0", run=run)
@@ -137,8 +137,8 @@
     assert status(log) is WorkflowStatus.RUNNING
 
 
-def test_long_running_task_waits_again_however_it_ends(log):
-    """Guards against a long-running task that is taken as done or failed."""
+def test_long_running_task_is_pending_again_after_any_outcome(log):
+    """Guards against a long-running task that counts as done or failed."""
     log.apply(make_workflow("w", steps=(Step(count=1, long_running=True),)))
     for run, outcome in enumerate((RunOutcome.DONE, RunOutcome.FAILED, RunOutcome.FAILED), start=1):
         start(log, "w.0.0.0", run=run)
@@ -147,16 +147,16 @@
     assert status(log) is WorkflowStatus.RUNNING
 
 
-def test_end_of_another_boot_ends_nothing(log):
-    """Guards against an end that belongs to a former life of the VM."""
+def test_end_reported_for_another_boot_is_ignored(log):
+    """Guards against a reported end that belongs to another boot of the VM."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     end(log, "w.0.0.0", RunOutcome.DONE, boot=7)
     assert "w.0.0.0" in log.state.tables.runs
 
 
-def test_new_boot_loses_the_runs_of_the_former(log):
-    """Guards against tasks that wait for a VM that holds nothing of before."""
+def test_runs_of_an_earlier_boot_are_lost(log):
+    """Guards against tasks that wait for the end of a run that the restarted VM knows nothing of."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     log.apply(make_vm("vm-1", boot=2))
@@ -165,22 +165,22 @@
     assert 0 in log.state.tables.workflows["w"].progress[0][0].pending
 
 
-def test_late_announcement_of_a_former_boot_is_ignored(log):
-    """Guards against a delayed announcement that arrives after its sender crashed."""
+def test_late_announcement_of_an_earlier_boot_is_ignored(log):
+    """Guards against a delayed announcement that arrives after the VM has restarted."""
     log.apply(make_vm("vm-1", boot=2))
     log.apply(make_vm("vm-1", boot=1, draining=True))
     assert (log.state.tables.vms["vm-1"].boot, log.state.tables.vms["vm-1"].draining) == (2, False)
 
 
-def test_draining_is_not_taken_back_within_a_boot(log):
-    """Guards against new starts on a leaving VM after an announcement that was overtaken."""
+def test_vm_keeps_draining_until_its_next_boot(log):
+    """Guards against new starts on a draining VM when announcements arrive out of order."""
     log.apply(make_vm("vm-1", draining=True))
     log.apply(make_vm("vm-1"))
     assert log.state.tables.vms["vm-1"].draining
 
 
-def test_upper_limit_of_a_team_holds_at_apply(log):
-    """Guards against two leaders that each see room below the limit."""
+def test_upper_limit_of_a_team_is_checked_on_apply(log):
+    """Guards against two leaders that each see free capacity below the limit and together exceed it."""
     log.apply(PutDocument(document=make_document(version=2, limit=1500)))
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
@@ -191,24 +191,24 @@
     assert list(log.state.tables.runs) == ["w.0.0.1"]
 
 
-def test_document_that_is_not_newer_changes_nothing(log):
-    """Guards against an older configuration that arrives again."""
+def test_document_with_an_older_version_is_ignored(log):
+    """Guards against an older configuration that is committed late."""
     log.apply(PutDocument(document=make_document(version=5)))
     log.apply(PutDocument(document=make_document(version=4, queues=("other",))))
     assert log.state.tables.document.version == 5
     assert log.state.indexes.find_queue(host="a.example", path="/plans/x").name == "plans"
 
 
-def test_longest_prefix_wins():
-    """Guards against a request that goes to a queue with a shorter prefix."""
+def test_queue_with_the_longest_matching_prefix_is_found():
+    """Guards against a request that is routed to a queue with a shorter path prefix."""
     log = Log(WorkflowState())
     log.apply(PutDocument(document=make_document(queues=("plans", "plans/urgent"))))
     assert log.state.indexes.find_queue(host="a.example", path="/plans/urgent/x").name == "plans/urgent"
     assert log.state.indexes.find_queue(host="b.example", path="/plans/x") is None
 
 
-def test_cancelled_workflow_leaves_unwanted_runs(log):
-    """Guards against runs of a cancelled workflow that nobody stops."""
+def test_runs_of_a_cancelled_workflow_are_to_be_stopped(log):
+    """Guards against runs of a cancelled workflow that are never stopped."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     log.apply(CancelWorkflow(workflow_id="w", at_ms=1))
@@ -217,8 +217,8 @@
     assert not log.state.indexes.runs_to_stop
 
 
-def test_second_copy_of_a_done_task_is_unwanted(log):
-    """Guards against copies that go on after the first one is done."""
+def test_second_run_of_a_done_task_is_to_be_stopped(log):
+    """Guards against duplicate runs that continue after the first one is done."""
     log.apply(make_workflow("w", steps=(Step(count=1, duplicates=True),)))
     start(log, "w.0.0.0", run=1)
     start(log, "w.0.0.0", run=2, vm="vm-2")
@@ -228,8 +228,8 @@
     assert log.state.tables.workflows["w"].occurrences_done == 1
 
 
-def test_checkpoint_is_kept_until_the_task_is_done(log):
-    """Guards against work thrown away at a stop."""
+def test_checkpoint_of_a_stopped_run_is_kept(log):
+    """Guards against progress that is lost when a run is stopped."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     end(log, "w.0.0.0", RunOutcome.STOPPED, checkpoint="half")
@@ -237,7 +237,7 @@
 
 
 def test_scheduled_workflow_completes_with_its_last_occurrence(log):
-    """Guards against a schedule that ends with its first occurrence."""
+    """Guards against a scheduled workflow that completes with its first occurrence."""
     log.apply(make_workflow("w", steps=(Step(count=1),), repeat_count=2, start_at_ms=100, interval_ms=50))
     for occurrence in (0, 1):
         assert status(log) is not WorkflowStatus.COMPLETED
@@ -247,8 +247,8 @@
     assert status(log) is WorkflowStatus.COMPLETED
 
 
-def test_snapshot_holds_everything(log):
-    """Guards against state, or a view of it, that is lost with a snapshot."""
+def test_snapshot_restores_tables_and_indexes(log):
+    """Guards against data or an index that is missing after a snapshot is restored."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
     start(log, "w.0.0.1", vm="vm-2")
@@ -263,7 +263,7 @@
     assert restored.indexes.team_by_key == {"key-1": "pantry"}
 
 
-def test_unknown_entry_is_skipped(log):
-    """Guards against a member that stops at an entry of a newer release."""
+def test_unknown_command_is_skipped(log):
+    """Guards against a member that stops at an entry written by a newer release."""
     log.state.apply(index=99, data=b'{"kind":"of a newer release"}')
     assert log.state.applied_index == 99
