--- a/src/hyssopway/clock/__init__.py
+++ b/src/hyssopway/clock/__init__.py
@@ -9,12 +9,12 @@
 
 
 def monotonic_s() -> float:
-    """Returns seconds that never go back and that go on while the VM is suspended."""
+    """Returns monotonic time in seconds, which includes the time that the VM is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_ms() -> int:
-    """Returns wall-clock milliseconds, for display and for ordering by the leader."""
+    """Returns wall-clock time in milliseconds, for display and for ordering by the leader."""
     return time.time_ns() // 1_000_000
 
 
--- a/src/hyssopway/control/__init__.py
+++ b/src/hyssopway/control/__init__.py
@@ -1,4 +1,4 @@
-"""The agreed state: commands, records and the deterministic state machine."""
+"""The replicated state of the control group: commands, records and the deterministic state machine."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/control/apply/__init__.py
+++ b/src/hyssopway/control/apply/__init__.py
@@ -1,4 +1,4 @@
-"""Applies commands to the agreed state."""
+"""Applies commands to the replicated state."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/control/apply/budgets.py
+++ b/src/hyssopway/control/apply/budgets.py
@@ -1,4 +1,4 @@
-"""Compares the VMs that are down with availability budgets."""
+"""Checks the VMs that are down against availability budgets."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 def find_exhausted_budget(state: ControlState, *, vm: Vm, purpose: PermitPurpose) -> str:
-    """Says which budget one more stopped VM would exceed; empty when none."""
+    """Describes the budget that one more stopped VM would exceed; empty if there is none."""
     document = state.document()
     if document is None or document.pool(name=vm.pool) is None:
-        # A VM of a pool that a newer document dropped has no promise to keep, but can only be moved.
+        # A pool that a newer document removed has no budget to protect; its VMs can only be moved away.
         return "" if document and purpose is PermitPurpose.MOVE else f"pool {vm.pool} has no budget"
     down = [other for other in state.tables.vms.values() if other.pool == vm.pool and _is_down(other)]
     others = [other for other in down if other.name != vm.name]
     for owner, budget in list_budgets(document, pool=vm.pool):
-        excess = _find_exhausted_limit(owner=owner, budget=budget, others=others, vm=vm, purpose=purpose)
-        if excess:
-            return excess
+        exhausted = _find_exhausted_limit(owner=owner, budget=budget, others=others, vm=vm, purpose=purpose)
+        if exhausted:
+            return exhausted
     return ""
 
 
 def find_broken_budget(state: ControlState) -> str:
-    """Says which budget is exceeded by failures alone; empty when none."""
+    """Describes a budget that failures alone exceed; empty if there is none."""
     document = state.document()
     if document is None:
         return ""
@@ -46,7 +46,7 @@
 
 
 def list_budgets(document: EnvironmentDocument, *, pool: str) -> list[tuple[str, Budget]]:
-    """Returns the budgets that the VMs of a pool are held to, with their owners."""
+    """Returns the budgets that apply to the VMs of a pool, each with its owner: the pool or a service."""
     found = document.pool(name=pool)
     services = [service for service in document.services if service.pool == pool]
     return [
@@ -75,7 +75,7 @@
 def _find_broken_limit(state: ControlState, *, owner: str, budget: Budget, failed: list[Vm]) -> str:
     if len(failed) > budget.max_down:
         return f"{owner} allows {budget.max_down} VMs down, {len(failed)} failed"
-    # Budgets do not limit one rack or zone while the zone is withdrawn.
+    # VMs of a withdrawn zone count only towards `max_down`, not towards the limits of one rack or zone.
     zones = state.tables.zones
     counted = [vm for vm in failed if zones[vm.zone].status is not ZoneStatus.WITHDRAWN]
     for rack, count in Counter((vm.zone, vm.rack) for vm in counted).items():
--- a/src/hyssopway/control/apply/claims.py
+++ b/src/hyssopway/control/apply/claims.py
@@ -1,4 +1,4 @@
-"""Applies claims of non-idempotent requests."""
+"""Applies claims, which make sure that a non-idempotent request runs at most once."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 
 
 def claim_request(state: ControlState, command: ClaimRequest) -> Result[Change, Failure]:
-    """Reserves the only run of a request.
+    """Reserves the execution of a request for one attempt.
 
-    A success with generation 1 lets the caller run it; generation 2 means that the outcome is stored.
+    Generation 1 of the result means that the caller may run the request, generation 2 that its outcome is
+    already stored.
     """
     _evict_expired(state)
     claim = state.tables.claims.get(command.claim_id)
@@ -38,18 +39,18 @@
         return Ok(Change(generation=1, reference=command.claim_id))
     if state.tables.now_ms > claim.unknown_after_ms:
         message = (
-            "an earlier try of this request may have run and its outcome is not known; it is not run again"
+            "an earlier attempt of this request may have run and its outcome is unknown; it is not run again"
         )
         return refuse(ResultCode.CLAIM_UNKNOWN, message, work=WorkState.MAY_HAVE_RUN)
-    message = "an earlier try of this request is in progress; ask again with the same idempotency key"
+    message = "an earlier attempt of this request is in progress; retry with the same idempotency key"
     return refuse(ResultCode.CLAIM_PENDING, message, work=WorkState.MAY_HAVE_RUN)
 
 
 def resolve_claim(state: ControlState, command: ResolveClaim) -> Result[Change, Failure]:
-    """Keeps the answer of the try that ran."""
+    """Stores the response of the attempt that ran."""
     claim = state.tables.claims.get(command.claim_id)
     if claim is None or claim.token != command.token:
-        return refuse(ResultCode.STALE_EPOCH, "claim is held by another try")
+        return refuse(ResultCode.STALE_EPOCH, "claim is held by another attempt")
     if not claim.status:
         claim.status = command.status
         claim.content_type = command.content_type
@@ -59,10 +60,10 @@
 
 
 def release_claim(state: ControlState, command: ReleaseClaim) -> Result[Change, Failure]:
-    """Removes a claim whose request surely did not run."""
+    """Deletes a claim whose request is known not to have run."""
     claim = state.tables.claims.get(command.claim_id)
     if claim is None or claim.token != command.token or claim.status:
-        return refuse(ResultCode.STALE_EPOCH, "claim is held by another try or resolved")
+        return refuse(ResultCode.STALE_EPOCH, "claim is held by another attempt or resolved")
     del state.tables.claims[command.claim_id]
     return Ok(Change(reference=command.claim_id))
 
@@ -75,26 +76,27 @@
         daemon=command.daemon,
         token=command.token,
         unknown_after_ms=state.tables.now_ms + round(command.deadline_s * 1000),
-        # A claim that is forgotten while its request is in progress would let a resend run.
+        # If the claim expired while its request is in progress, a retry could run the request again.
         kept_until_ms=state.tables.now_ms + round((command.deadline_s + command.kept_s) * 1000),
         kept_s=command.kept_s,
     )
 
 
 def _evict_expired(state: ControlState) -> None:
-    # Claims are kept in order of creation, so only the oldest need a look; a few a call keep it cheap.
+    # Claims are stored in order of creation, so only the oldest can have expired. Checking a few per call
+    # bounds the work.
     for claim_id in list(_oldest_claim_ids(state, count=4)):
         if state.tables.claims[claim_id].kept_until_ms < state.tables.now_ms:
             del state.tables.claims[claim_id]
 
 
 def _oldest_claim_ids(state: ControlState, *, count: int) -> list[str]:
-    found = []
+    claim_ids = []
     for claim_id in state.tables.claims:
-        found.append(claim_id)
-        if len(found) == count:
+        claim_ids.append(claim_id)
+        if len(claim_ids) == count:
             break
-    return found
+    return claim_ids
 
 
 __all__ = ["claim_request", "release_claim", "resolve_claim"]
--- a/src/hyssopway/control/apply/dispatch.py
+++ b/src/hyssopway/control/apply/dispatch.py
@@ -1,4 +1,4 @@
-"""Chooses the function that applies a command."""
+"""Calls the function that applies a command, by its type."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def apply_command(*, state: ControlState, command: Command) -> Result[Change, Failure]:
-    """Applies one command; a refused command changes nothing."""
+    """Applies one command; a command that is refused changes nothing."""
     match command:
         case TrialDocument():
             return trial_document(state, command)
--- a/src/hyssopway/control/apply/documents.py
+++ b/src/hyssopway/control/apply/documents.py
@@ -1,4 +1,4 @@
-"""Applies changes of documents."""
+"""Applies commands that change the active documents."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 TRIAL = "trial"
 PRODUCTION = "production"
 
-# Rolling back needs recent documents only; older ones stay in the operators' own version control.
+# A rollback needs recent documents only; operators keep older ones in version control.
 MAX_HISTORY = 200
 
 
 def trial_document(state: ControlState, command: TrialDocument) -> Result[Change, Failure]:
-    """Puts a document into the trial environment."""
+    """Activates a document in the trial environment."""
     return _activate(
         state,
         environment=TRIAL,
@@ -38,7 +38,7 @@
 
 
 def promote_document(state: ControlState, command: PromoteDocument) -> Result[Change, Failure]:
-    """Puts a tried document into production."""
+    """Activates a document in production that the trial environment accepted before."""
     text = _find_trialed_text(state, digest=command.digest)
     if text is None:
         message = f"document {command.digest[:12]} was not accepted by the trial environment; run trial first"
--- a/src/hyssopway/control/apply/drains.py
+++ b/src/hyssopway/control/apply/drains.py
@@ -1,4 +1,4 @@
-"""Applies operators' drains, moves and returns of single VMs."""
+"""Applies operators' commands to drain, move and return single VMs."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 
 def drain_vm(state: ControlState, command: DrainVm) -> Result[Change, Failure]:
-    """Takes a permit that an operator returns."""
+    """Takes a permit for a drain; the VM drains until an operator returns the permit."""
     return _take_operator_permit(state, command, purpose=PermitPurpose.OPERATOR)
 
 
 def request_move(state: ControlState, command: RequestMove) -> Result[Change, Failure]:
-    """Takes a permit for a move."""
+    """Takes a permit for a move to another pool."""
     document = state.document()
     vm = state.tables.vms.get(command.vm)
     if document is None or document.pool(name=command.target) is None:
@@ -42,7 +42,7 @@
 
 
 def return_vm(state: ControlState, command: ReturnVm) -> Result[Change, Failure]:
-    """Returns the permit of a drain or of a move that is not made yet."""
+    """Returns the permit of a drain, or of a move that is not done yet."""
     refusal = _check_permit(state, command)
     if refusal is not None:
         return refusal
@@ -55,7 +55,7 @@
 
 
 def decide_drain(state: ControlState, command: DecideDrain) -> Result[Change, Failure]:
-    """Lets the work on a draining VM go on for another period, or has it stopped."""
+    """Lets the work on a draining VM continue for another period, or stops it."""
     refusal = _check_permit(state, command)
     if refusal is not None:
         return refusal
@@ -72,10 +72,12 @@
 
 
 def record_drain_question(state: ControlState, command: RecordDrainQuestion) -> Result[Change, Failure]:
-    """Records that operators were asked about the work on a draining VM."""
+    """Records that operators were asked whether to stop the work on a draining VM."""
     permit = state.tables.permits.get(command.vm)
     if permit is None or (permit.holder, permit.at_ms) != (command.holder, command.at_ms) or permit.asked:
-        message = f"nobody is to be asked about a drain of VM {command.vm!r} from {command.at_ms}"
+        message = (
+            f"VM {command.vm!r} has no drain from {command.at_ms} that operators have yet to be asked about"
+        )
         return refuse(ResultCode.VM_STATE_CONFLICT, message)
     permit.asked = True
     return Ok(Change(reference=command.vm))
@@ -84,7 +86,8 @@
 def _take_operator_permit(
     state: ControlState, command: DrainVm | RequestMove, *, purpose: PermitPurpose
 ) -> Result[Change, Failure]:
-    # The request id keeps two requests of one operator apart; a resend is answered before it gets here.
+    # The request ID distinguishes two requests of one operator. A retry does not get here: it returns the stored
+    # outcome.
     holder = f"operator {command.operator} ({command.request_id})"
     return take_permit(
         state,
--- a/src/hyssopway/control/apply/jobs.py
+++ b/src/hyssopway/control/apply/jobs.py
@@ -1,4 +1,4 @@
-"""Applies acceptance, cancellation and rejection of jobs."""
+"""Applies commands that accept, cancel and reject jobs."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from hyssopway.control.state import ControlState
     from hyssopway.result import Failure
 
-# Ended jobs are shown for a while; 10,000 of about 1 KB keep a daemon far below its 128 MB.
+# Ended jobs stay visible for some time; 10,000 of about 1 KB each keep a daemon far below its limit of 128 MB.
 MAX_ENDED_JOBS = 10_000
 FINAL_STATUSES = {JobStatus.DONE, JobStatus.FAILED, JobStatus.CANCELLED, JobStatus.CANNOT_RUN}
 
 
 def accept_job(state: ControlState, command: AcceptJob) -> Result[Change, Failure]:
-    """Makes a job durable; the same job id returns the first acceptance."""
+    """Stores a job; a retry with the same job ID returns the first acceptance."""
     known = state.tables.jobs.get(command.job_id)
     if known is not None:
         if known.team != command.team or known.spec != command.spec:
@@ -35,9 +35,9 @@
         return refuse(
             ResultCode.KEY_INVALID, f"key {command.key_id!r} is not valid for team {command.team!r}"
         )
-    impossible = _find_rejection_reason(state, command)
-    if impossible:
-        return refuse(ResultCode.JOB_CANNOT_RUN, impossible)
+    rejection = _find_rejection_reason(state, command)
+    if rejection:
+        return refuse(ResultCode.JOB_CANNOT_RUN, rejection)
     job = Job(
         job_id=command.job_id,
         team=command.team,
@@ -51,7 +51,7 @@
 
 
 def cancel_job(state: ControlState, command: CancelJob) -> Result[Change, Failure]:
-    """Cancels a job at once, or marks its run to be stopped."""
+    """Cancels a pending job at once; marks a running job so that its run is stopped."""
     job = state.tables.jobs.get(command.job_id)
     if job is None or (command.team and job.team != command.team):
         return refuse(ResultCode.UNKNOWN_JOB, f"job {command.job_id!r} does not exist")
@@ -68,13 +68,13 @@
 
 
 def cancel_jobs(state: ControlState, command: CancelJobs) -> Result[Change, Failure]:
-    """Cancels many jobs; returns how many end or are being stopped."""
+    """Cancels several jobs; the generation of the result is the number of jobs cancelled or being stopped."""
     results = [cancel_job(state, CancelJob(job_id=item, team=command.team)) for item in command.job_ids]
     return Ok(Change(generation=sum(result.is_ok() for result in results)))
 
 
 def reject_job(state: ControlState, command: RejectJob) -> Result[Change, Failure]:
-    """Ends a pending job as cannot_run."""
+    """Ends a pending job with the status `cannot_run`."""
     job = state.tables.jobs.get(command.job_id)
     if job is None or job.status is not JobStatus.PENDING:
         return refuse(ResultCode.UNKNOWN_JOB, f"job {command.job_id!r} is not pending")
@@ -83,7 +83,7 @@
 
 
 def finish_job(state: ControlState, *, job: Job, status: JobStatus, detail: str) -> None:
-    """Gives a job its final status."""
+    """Sets the final status of a job and deletes the oldest ended job beyond the limit."""
     state.indexes.pending.pop(job.job_id, None)
     job.status = status
     job.run = None
--- a/src/hyssopway/control/apply/keys.py
+++ b/src/hyssopway/control/apply/keys.py
@@ -1,4 +1,4 @@
-"""Applies changes of keys."""
+"""Applies commands that grant and withdraw API keys."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def grant_key(state: ControlState, command: GrantKey) -> Result[Change, Failure]:
-    """Makes a key valid."""
+    """Adds a valid key of a team."""
     document = state.document()
     if document is None or document.team(name=command.team) is None:
         return refuse(ResultCode.UNKNOWN_TEAM, f"team {command.team!r} is not in the production document")
--- a/src/hyssopway/control/apply/permits.py
+++ b/src/hyssopway/control/apply/permits.py
@@ -1,4 +1,4 @@
-"""Applies disruption permits against availability budgets."""
+"""Takes and returns disruption permits within the availability budgets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def take_permit(state: ControlState, command: TakePermit) -> Result[Change, Failure]:
-    """Starts a planned stop if planned and unplanned losses stay within the budget."""
+    """Starts a planned stop of a VM if all VMs that are down, planned or not, stay within the budgets."""
     vm = state.tables.vms.get(command.vm)
     if vm is None:
         return refuse(ResultCode.UNKNOWN_VM, f"VM {command.vm!r} does not exist")
@@ -51,7 +51,7 @@
 
 
 def return_permit(state: ControlState, command: ReturnPermit) -> Result[Change, Failure]:
-    """Ends a planned stop."""
+    """Ends a planned stop of a VM."""
     vm = state.tables.vms.get(command.vm)
     permit = state.tables.permits.get(command.vm)
     if vm is None or permit is None:
@@ -71,7 +71,7 @@
 
 
 def has_move_permit(state: ControlState, *, vm: Vm) -> bool:
-    """Tells whether a VM is stopped only to be moved."""
+    """Returns whether a VM is stopped to be moved to another pool."""
     permit = state.tables.permits.get(vm.name)
     return permit is not None and permit.purpose is PermitPurpose.MOVE
 
@@ -92,8 +92,8 @@
         return refuse(
             ResultCode.BUDGET_BROKEN, f"no planned stop while failures alone exceed a budget: {broken}"
         )
-    excess = find_exhausted_budget(state, vm=vm, purpose=purpose)
-    return refuse(ResultCode.BUDGET_EXHAUSTED, excess) if excess else None
+    exhausted = find_exhausted_budget(state, vm=vm, purpose=purpose)
+    return refuse(ResultCode.BUDGET_EXHAUSTED, exhausted) if exhausted else None
 
 
 __all__ = ["find_exhausted_budget", "has_move_permit", "return_permit", "take_permit"]
--- a/src/hyssopway/control/apply/refusal.py
+++ b/src/hyssopway/control/apply/refusal.py
@@ -1,4 +1,4 @@
-"""Builds the error side of applying a command."""
+"""Builds the error result of a command that is refused."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def refuse(code: ResultCode, message: str, *, work: WorkState = WorkState.NOT_RUN) -> Result[Change, Failure]:
-    """Returns a refusal."""
+    """Returns the error result of a command that is refused."""
     return Error(Failure(code=code, message=message, work=work))
 
 
--- a/src/hyssopway/control/apply/runs.py
+++ b/src/hyssopway/control/apply/runs.py
@@ -1,4 +1,4 @@
-"""Applies starts and ends of runs."""
+"""Applies commands that start, end and reclaim runs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def start_run(state: ControlState, command: StartRun) -> Result[Change, Failure]:
-    """Starts a run if the job, the VM, its zone and the team's limit allow it."""
+    """Starts a run if the job, the VM, its zone and the upper limit of the team allow it."""
     job = state.tables.jobs.get(command.job_id)
     if job is None or job.status is not JobStatus.PENDING:
         return refuse(ResultCode.UNKNOWN_JOB, f"job {command.job_id!r} is not pending")
@@ -55,7 +55,7 @@
 
 
 def end_run(state: ControlState, command: EndRun) -> Result[Change, Failure]:
-    """Ends a run; a report of an older run changes nothing."""
+    """Ends a run; a report of an earlier run is refused."""
     job = state.tables.jobs.get(command.job_id)
     if job is None:
         return refuse(ResultCode.UNKNOWN_JOB, f"job {command.job_id!r} does not exist")
@@ -74,7 +74,7 @@
 
 
 def reclaim_run(state: ControlState, command: ReclaimRun) -> Result[Change, Failure]:
-    """Marks a run to be checkpointed, throttled or stopped for the sake of others."""
+    """Marks a run to be checkpointed, throttled or stopped to free capacity for other jobs."""
     job = state.tables.jobs.get(command.job_id)
     if job is None or job.run is None or job.run.epoch != command.epoch:
         return refuse(ResultCode.STALE_EPOCH, f"run {command.epoch} of {command.job_id!r} is not in progress")
@@ -98,7 +98,7 @@
 def _check_reporter(state: ControlState, command: EndRun, *, vm: str) -> Result[Change, Failure] | None:
     if command.vm and command.vm != vm:
         return refuse(ResultCode.STALE_EPOCH, f"run {command.epoch} is on VM {vm}, not on {command.vm}")
-    # A home that was frozen may give up a run that the worker started through its next home.
+    # A home that was suspended may report as lost a run that the worker started through its next home.
     home_epoch = state.tables.vms[vm].home_epoch if vm in state.tables.vms else 0
     if command.home_epoch and command.home_epoch != home_epoch:
         message = f"VM {vm} is at home epoch {home_epoch}, not {command.home_epoch}"
--- a/src/hyssopway/control/apply/vms.py
+++ b/src/hyssopway/control/apply/vms.py
@@ -1,4 +1,4 @@
-"""Applies changes of VMs."""
+"""Applies commands that register, change and move VMs."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     from hyssopway.control.state import ControlState
     from hyssopway.result import Failure
 
-# `docs/design.md` has the same table with who may make each change.
+# `docs/design.md` has the same table and says who may make each transition.
 TRANSITIONS = {
     VmState.READY: {VmState.DOWN, VmState.QUARANTINED},
     VmState.QUARANTINED: {VmState.READY, VmState.DOWN},
@@ -31,7 +31,7 @@
 
 
 def register_vm(state: ControlState, command: RegisterVm) -> Result[Change, Failure]:
-    """Records a VM and its home entry; a known VM keeps its pool."""
+    """Stores a VM and its home; a known VM keeps its pool."""
     vm = state.tables.vms.get(command.vm)
     if vm is None:
         return _add_vm(state, command)
@@ -44,7 +44,7 @@
 
 
 def change_vm(state: ControlState, command: ChangeVm) -> Result[Change, Failure]:
-    """Changes the state of a VM along the table of transitions."""
+    """Changes the state of a VM if the table of transitions allows it."""
     vm = state.tables.vms.get(command.vm)
     if vm is None:
         return refuse(ResultCode.UNKNOWN_VM, f"VM {command.vm!r} does not exist")
@@ -82,13 +82,13 @@
         return refuse(ResultCode.UNKNOWN_POOL, f"pool {command.target!r} is not in the production document")
     if vm.state is not VmState.DRAINED or state.indexes.running.get(vm.name):
         return refuse(ResultCode.VM_NOT_EMPTY, f"VM {vm.name} is {vm.state}; drain it before a move")
-    excess = _find_exhausted_target_budget(state, vm=vm, target=command.target)
-    if excess:
-        return refuse(ResultCode.BUDGET_EXHAUSTED, excess)
+    exhausted = _find_exhausted_target_budget(state, vm=vm, target=command.target)
+    if exhausted:
+        return refuse(ResultCode.BUDGET_EXHAUSTED, exhausted)
     _record_move(state, vm=vm, target=command.target)
     vm.pool = command.target
     if has_move_permit(state, vm=vm):
-        # In the target pool the VM would count as down until the permit is returned.
+        # The VM would count as down in the target pool until the permit is returned, so it becomes ready at once.
         del state.tables.permits[vm.name]
         vm.state = VmState.READY
     vm.reason = command.reason
@@ -105,7 +105,7 @@
 
 
 def _find_exhausted_target_budget(state: ControlState, *, vm: Vm, target: str) -> str:
-    """Says which budget of the target pool a VM would exceed that stays down after its move."""
+    """Describes the budget of the target pool that a VM would exceed if it stays down after its move."""
     if has_move_permit(state, vm=vm):
         return ""
     permit = state.tables.permits.get(vm.name)
--- a/src/hyssopway/control/apply/waves.py
+++ b/src/hyssopway/control/apply/waves.py
@@ -1,4 +1,4 @@
-"""Applies maintenance waves."""
+"""Applies commands that start, control and advance maintenance waves."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from hyssopway.control.state import ControlState
     from hyssopway.result import Failure
 
-# A wave lists every VM; seven weeks of a fleet that is maintained in parts fit.
+# Each wave holds a record per VM. 20 waves cover seven weeks of a fleet that is maintained in parts.
 MAX_WAVES = 20
 
 VM_TRANSITIONS = {
@@ -41,7 +41,7 @@
 
 
 def start_wave(state: ControlState, command: StartWave) -> Result[Change, Failure]:
-    """Starts a wave unless another one still has work to do."""
+    """Starts a wave unless another one is active."""
     for wave in state.tables.waves.values():
         if is_active(wave):
             return refuse(ResultCode.WAVE_CONFLICT, f"{wave.wave_id} is {wave.status} and not finished")
@@ -82,7 +82,7 @@
 
 
 def advance_wave(state: ControlState, command: AdvanceWave) -> Result[Change, Failure]:
-    """Takes one VM to its next step; state, permit and progress change together."""
+    """Moves one VM to its next step; changes its state, its permit and its progress in one command."""
     wave = state.tables.waves.get(command.wave)
     vm = state.tables.vms.get(command.vm)
     if wave is None:
@@ -107,12 +107,12 @@
 
 
 def is_active(wave: Wave) -> bool:
-    """Tells whether a wave may still stop or has stopped VMs."""
+    """Returns whether a wave may still stop VMs or has stopped VMs that it has to finish."""
     return wave.status in (WaveStatus.RUNNING, WaveStatus.PAUSED) or bool(wave.count(*UNFINISHED_STATUSES))
 
 
 def count_lost(state: ControlState, *, wave: Wave) -> int:
-    """Counts VMs that did not return, or returned and are down or quarantined by now."""
+    """Counts VMs that did not return, or that returned and are now down or quarantined."""
     failed = (VmState.DOWN, VmState.QUARANTINED)
     done = wave.select(WaveVmStatus.DONE)
     return wave.count(*LOST_STATUSES) + sum(state.tables.vms[name].state in failed for name in done)
@@ -192,9 +192,10 @@
 
 
 def may_still_reboot(state: ControlState, *, vm: Vm) -> bool:
-    """Tells whether the platform was asked for a reboot that it may still carry out.
+    """Returns whether the platform may still carry out a reboot that was requested for a lost VM.
 
-    Work placed on the VM would be cut off by it. A new worker process shows that the reboot is over.
+    Such a reboot would interrupt work that is placed on the VM. A new worker process shows that the reboot
+    has taken place.
     """
     return any(
         vm.name in wave.vms
--- a/src/hyssopway/control/apply/zones.py
+++ b/src/hyssopway/control/apply/zones.py
@@ -1,4 +1,4 @@
-"""Applies withdrawals and returns of availability zones."""
+"""Applies commands that withdraw and return availability zones."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/control/change.py
+++ b/src/hyssopway/control/change.py
@@ -1,4 +1,4 @@
-"""Success side of applying a command."""
+"""Result of a command that was applied successfully."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
     """What a command changed.
 
     Attributes:
-        generation: New generation or epoch.
-        reference: Name of what was changed.
+        generation: New generation or epoch of the record, or a result code or count that the command defines.
+        reference: Name or ID of the record that was changed.
     """
 
     generation: int = 0
--- a/src/hyssopway/control/change_feed.py
+++ b/src/hyssopway/control/change_feed.py
@@ -1,4 +1,4 @@
-"""What changed since a scheduler last looked."""
+"""Records which records changed since the scheduler last read them."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 if TYPE_CHECKING:
     from .command import Command
 
-# Beyond this many changes a rebuild is cheaper, and a daemon without a scheduler stays small.
+# With more changes a full rebuild is cheaper. The limit also bounds memory on a daemon that runs no scheduler.
 MAX_RECORDED_CHANGES = 50_000
 
 
 @dataclass(slots=True, kw_only=True)
 class ChangeFeed:
-    """Names of changed records; derived, so it is in no snapshot.
+    """IDs of changed records; not part of snapshots.
 
     Attributes:
-        jobs: Ids of changed jobs, in order.
-        vms: Names of changed VMs, in order.
+        jobs: IDs of changed jobs, in order of the change.
+        vms: Names of changed VMs, in order of the change.
         zones: Names of changed zones.
         ends: Runs that ended.
-        everything: Whether all records count as changed.
+        everything: Whether all records count as changed; the other fields are empty then.
     """
 
     jobs: dict[str, None] = field(default_factory=dict)
@@ -34,7 +34,7 @@
     everything: bool = True
 
     def record_change(self, command: Command) -> None:
-        """Notes what an applied command changed."""
+        """Records which jobs, VMs or zones an applied command changed."""
         if self.everything:
             return
         match command:
@@ -51,12 +51,12 @@
             self.reset()
 
     def record_run_end(self, end: RunEnd) -> None:
-        """Notes the end of a run."""
+        """Records the end of a run."""
         if not self.everything:
             self.ends.append(end)
 
     def reset(self) -> None:
-        """Counts all records as changed."""
+        """Marks all records as changed."""
         self.jobs = {}
         self.vms = {}
         self.zones = {}
@@ -64,7 +64,7 @@
         self.everything = True
 
     def drain(self) -> ChangeFeed:
-        """Returns the changes and starts anew."""
+        """Returns the recorded changes and clears them."""
         drained = ChangeFeed(
             jobs=self.jobs, vms=self.vms, zones=self.zones, ends=self.ends, everything=self.everything
         )
--- a/src/hyssopway/control/claim_id.py
+++ b/src/hyssopway/control/claim_id.py
@@ -1,4 +1,4 @@
-"""Identity of a non-idempotent request."""
+"""ID of the claim of a non-idempotent request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def make_claim_id(*, environment: str, service: str, team: str, idempotency_key: str) -> str:
-    """Returns the id of the claim that all sends of one request share."""
+    """Returns the claim ID, which is the same for all attempts of one request."""
     identity = f"{environment}\0{service}\0{team}\0{idempotency_key}"
     return hashlib.sha256(identity.encode()).hexdigest()[:32]
 
--- a/src/hyssopway/control/cluster_clock.py
+++ b/src/hyssopway/control/cluster_clock.py
@@ -1,4 +1,4 @@
-"""Time of the agreed state."""
+"""The cluster time that all replicas share."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 
 class ClusterClock:
-    """Milliseconds that only a leader moves forward, by its monotonic clock.
+    """Cluster time in milliseconds, which only the leader advances, by its monotonic clock.
 
-    Wall clocks step. A daemon whose wall clock is a day ahead would otherwise end the time for which claims
-    are kept, and a resend would run a second time. A new leader starts where the last applied command stood,
-    so agreed time may run slow over a change of leader but never fast.
+    Wall clocks may jump. A leader whose wall clock is a day ahead would expire the claims of non-idempotent
+    requests too early, and a retry would run a second time. A new leader continues from the time of the last
+    applied command, so cluster time may lose time in a change of leader but never runs ahead.
 
     Attributes:
-        last_ms: Last time given out or taken over.
-        last_at: Local time of that.
+        clock: Local monotonic clock in seconds.
+        last_ms: Last cluster time that was returned or taken from an applied command.
+        last_read_s: Local time in seconds that corresponds to `last_ms`.
     """
 
     __slots__ = ("clock", "last_ms", "last_read_s")
@@ -28,10 +29,10 @@
         self.last_read_s = clock()
 
     def read_ms(self, *, applied_ms: int) -> int:
-        """Returns the time for the next command.
+        """Returns the cluster time for the next command, in milliseconds.
 
         Args:
-            applied_ms: Time of the last command applied.
+            applied_ms: Cluster time of the last applied command.
         """
         now = self.clock()
         if applied_ms > self.last_ms:
--- a/src/hyssopway/control/codec.py
+++ b/src/hyssopway/control/codec.py
@@ -1,4 +1,4 @@
-"""Encodes commands and outcomes as JSON."""
+"""Encodes and decodes commands, log entries and outcomes as JSON."""
 
 from __future__ import annotations
 
@@ -31,15 +31,20 @@
 
 
 def encode_command(command: Command) -> bytes:
-    """Encodes a command on its way to the leader."""
+    """Encodes a command to send it to the leader."""
     return _COMMAND_ADAPTER.dump_json(command)
 
 
 def wrap_command(command: bytes, *, at_ms: int, wall_ms: int) -> bytes:
-    """Makes a log entry of an encoded command after checking it.
+    """Validates an encoded command and wraps it into a log entry.
+
+    Args:
+        command: Encoded command.
+        at_ms: Cluster time in milliseconds.
+        wall_ms: Wall-clock time in milliseconds.
 
     Raises:
-        ValueError: The bytes are not a command of this release.
+        ValueError: The bytes are not a command that this release knows.
     """
     _COMMAND_ADAPTER.validate_json(command)
     return b'{"at_ms":%d,"wall_ms":%d,"command":%b}' % (at_ms, wall_ms, command)
@@ -56,7 +61,7 @@
 
 
 def fingerprint(command: OperatorCommand) -> str:
-    """Hashes what a command asks for, without its request id."""
+    """Returns the hash of a command without its request ID, to detect a request ID that is reused."""
     data = encode_envelope(Envelope(at_ms=0, wall_ms=0, command=replace(command, request_id="")))
     return hashlib.sha256(data).hexdigest()
 
--- a/src/hyssopway/control/command/__init__.py
+++ b/src/hyssopway/control/command/__init__.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated log."""
+"""Commands that the replicated log consists of."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/control/command/accept_job.py
+++ b/src/hyssopway/control/command/accept_job.py
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AcceptJob:
-    """Makes a job durable.
+    """Accepts a job and stores it durably.
 
     Attributes:
-        job_id: Identity of the job over resends.
+        job_id: ID of the job; a retry has the same one.
         key_id: Public part of the submitter's key.
-        team: Team of the key.
-        spec: What to run.
+        team: Team that the key belongs to.
+        spec: Specification of the job.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/advance_wave.py
+++ b/src/hyssopway/control/command/advance_wave.py
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AdvanceWave:
-    """Takes one VM to its next step, together with its state and permit.
+    """Moves one VM of a wave to its next step, and changes its state and permit accordingly.
 
     Attributes:
-        wave: Identity of the wave.
+        wave: ID of the wave.
         vm: Name of the VM.
-        status: Next step.
+        status: Status of the VM in the wave after the step.
         expected_epoch: Epoch of the VM that the proposer saw.
-        reason: Why, for operators.
-        replacement: VM that takes the place of a lost one.
+        reason: Reason, shown to operators.
+        replacement: Spare VM that replaces a lost one.
     """
 
     wave: str
--- a/src/hyssopway/control/command/cancel_job.py
+++ b/src/hyssopway/control/command/cancel_job.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CancelJob:
-    """Cancels a job; a running task is stopped.
+    """Cancels a job; its run in progress is stopped.
 
     Attributes:
-        job_id: The job.
-        team: Team of the key; empty for operators.
+        job_id: ID of the job.
+        team: Team of the caller's key; empty for operators.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/cancel_jobs.py
+++ b/src/hyssopway/control/command/cancel_jobs.py
@@ -1,4 +1,4 @@
-"""Cancels many jobs."""
+"""Cancels several jobs."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CancelJobs:
-    """Cancels jobs of a team in one log entry; jobs that ended or are unknown stay as they are.
+    """Cancels jobs of a team in one log entry; jobs that ended or are unknown are skipped.
 
     Attributes:
-        job_ids: The jobs.
-        team: Team of the key; empty for operators.
+        job_ids: IDs of the jobs.
+        team: Team of the caller's key; empty for operators.
     """
 
     job_ids: list[str]
--- a/src/hyssopway/control/command/change_vm.py
+++ b/src/hyssopway/control/command/change_vm.py
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeVm:
-    """Moves a VM to another state.
+    """Changes the state of a VM.
 
     Attributes:
         vm: Name of the VM.
         state: New state.
         expected_epoch: Epoch of the VM that the proposer saw.
-        reason: Why, for operators.
+        reason: Reason, shown to operators.
     """
 
     vm: str
--- a/src/hyssopway/control/command/claim_request.py
+++ b/src/hyssopway/control/command/claim_request.py
@@ -8,16 +8,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ClaimRequest:
-    """Reserves the only run of a non-idempotent request.
+    """Reserves the execution of a non-idempotent request for one attempt.
 
     Attributes:
         claim_id: Hash of service, team and idempotency key.
         service: Service that is called.
         fingerprint: Hash of method, path and body, to detect a reused idempotency key.
-        daemon: Entry daemon that wants to run it.
-        token: Random identity of this try.
-        deadline_s: Seconds after which a pending claim counts as unknown.
-        kept_s: Seconds that the outcome is kept.
+        daemon: Entry daemon that is about to run the request.
+        token: Random ID of this attempt.
+        deadline_s: Seconds after which the outcome of a pending claim counts as unknown.
+        kept_s: Seconds for which the outcome is kept.
     """
 
     claim_id: str
--- a/src/hyssopway/control/command/control_wave.py
+++ b/src/hyssopway/control/command/control_wave.py
@@ -8,7 +8,7 @@
 
 
 class WaveAction(StrEnum):
-    """What to do with a wave."""
+    """Action of an operator on a wave."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -20,12 +20,12 @@
     """Changes the status of a wave.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
-        wave: Identity of the wave.
-        action: What to do.
-        expected_epoch: Epoch of the wave that the operator saw.
-        reason: Why, for operators.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
+        wave: ID of the wave.
+        action: Action on the wave.
+        expected_epoch: Epoch of the wave that the operator read.
+        reason: Reason, shown to operators.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/decide_drain.py
+++ b/src/hyssopway/control/command/decide_drain.py
@@ -1,4 +1,4 @@
-"""Answers the question about a drain that does not end."""
+"""Decides about the work on a VM whose drain is overdue."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DecideDrain:
-    """Waits on for the work on a draining VM, or stops it.
+    """Keeps waiting for the work on a draining VM, or stops it.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         vm: Name of the VM.
         expected_epoch: Epoch of the VM that the operator saw.
-        decision: What to do with the work.
+        decision: Whether to wait for the work or to stop it.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/drain_vm.py
+++ b/src/hyssopway/control/command/drain_vm.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainVm:
-    """Takes a permit and drains a VM until an operator returns it.
+    """Takes a disruption permit and drains a VM until an operator returns it.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         vm: Name of the VM.
         expected_epoch: Epoch of the VM that the operator saw.
     """
--- a/src/hyssopway/control/command/end_run.py
+++ b/src/hyssopway/control/command/end_run.py
@@ -13,13 +13,14 @@
     """Records how a run ended.
 
     Attributes:
-        job_id: The job.
+        job_id: ID of the job.
         epoch: Number of the run.
-        outcome: How it ended.
-        detail: Message of the worker or reason of the system.
-        checkpoint: Where the next run continues.
-        vm: VM that reports; empty when the leader decides.
-        home_epoch: Home epoch of the VM that a home saw when it gave the run up; 0 for a worker's report.
+        outcome: How the run ended.
+        detail: Message of the worker, or reason given by the system.
+        checkpoint: Checkpoint from which the next run continues.
+        vm: VM that reports the end; empty if the leader ends the run.
+        home_epoch: Home epoch of the VM that its home read when it declared the run lost; 0 for a report of
+            the worker.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/grant_key.py
+++ b/src/hyssopway/control/command/grant_key.py
@@ -11,11 +11,11 @@
     """Makes a key valid for a team.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         key_id: Public part of the key.
         key_hash: SHA-256 of the secret part, in hexadecimal.
-        team: Team that the key stands for.
+        team: Team that the key belongs to.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/move_vm.py
+++ b/src/hyssopway/control/command/move_vm.py
@@ -14,7 +14,7 @@
         vm: Name of the VM.
         target: New pool.
         expected_epoch: Epoch of the VM that the proposer saw.
-        reason: Why, for operators.
+        reason: Reason, shown to operators.
     """
 
     vm: str
--- a/src/hyssopway/control/command/promote_document.py
+++ b/src/hyssopway/control/command/promote_document.py
@@ -1,4 +1,4 @@
-"""Promotes a tried document to production."""
+"""Promotes a document from trial to production."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteDocument:
-    """Puts a document from the trial environment into production, unchanged.
+    """Activates a document in production, unchanged, that the trial environment accepted before.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
-        digest: Digest of the document that the trial accepted.
-        expected_generation: Generation of the production document that the operator saw.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
+        digest: Digest of the document, as accepted by the trial environment.
+        expected_generation: Generation of the production document that the operator read.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/reclaim_run.py
+++ b/src/hyssopway/control/command/reclaim_run.py
@@ -1,4 +1,4 @@
-"""Takes a VM's capacity back from a run."""
+"""Reclaims the capacity of a VM from a run."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     """Asks the worker to checkpoint, throttle or stop a run.
 
     Attributes:
-        job_id: The job.
+        job_id: ID of the job.
         epoch: Number of the run.
-        action: What the worker does.
-        reason: For whom and why.
+        action: Action that the worker takes.
+        reason: Why, and for which jobs the capacity is reclaimed.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/record_drain_question.py
+++ b/src/hyssopway/control/command/record_drain_question.py
@@ -1,4 +1,4 @@
-"""Records that operators were asked about a drain."""
+"""Records that operators were asked about an overdue drain."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RecordDrainQuestion:
-    """Keeps a new leader from asking the same question again.
+    """Records a question to operators, so that a new leader does not ask it again.
 
     Attributes:
         vm: Name of the VM.
         holder: Holder of the permit.
-        at_ms: Time that the drain is counted from; a decision to wait on sets a new one.
+        at_ms: Cluster time in milliseconds from which the drain is overdue after its limit; an operator's
+            decision to wait resets it.
     """
 
     vm: str
--- a/src/hyssopway/control/command/register_vm.py
+++ b/src/hyssopway/control/command/register_vm.py
@@ -1,4 +1,4 @@
-"""Registers a VM with its home entry."""
+"""Registers a VM with its home."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RegisterVm:
-    """Records the VM of a worker and the entry daemon that holds its session.
+    """Stores the VM of a worker and the entry daemon that holds its session.
 
     Attributes:
         vm: Name of the VM.
         zone: Availability zone.
-        rack: Rack.
-        pool: Pool for a VM that is not known yet; a known VM keeps its pool.
-        capacity: What the VM has.
-        home: Entry daemon that the worker syncs with.
-        boot_id: Identity of the worker process, new after each restart.
+        rack: Rack within the zone.
+        pool: Pool of a VM that is not known yet; a known VM keeps its pool.
+        capacity: Total capacity of the VM.
+        home: Entry daemon that the worker reports to.
+        boot_id: ID of the worker process; a new one after each restart.
     """
 
     vm: str
--- a/src/hyssopway/control/command/reject_job.py
+++ b/src/hyssopway/control/command/reject_job.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RejectJob:
-    """Ends a pending job as cannot_run.
+    """Ends a pending job with the status `cannot_run`.
 
     Attributes:
-        job_id: The job.
-        reason: Why it can never run.
+        job_id: ID of the job.
+        reason: Why the job can never run.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/release_claim.py
+++ b/src/hyssopway/control/command/release_claim.py
@@ -1,4 +1,4 @@
-"""Releases a claim whose request surely did not run."""
+"""Releases a claim whose request is known not to have run."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReleaseClaim:
-    """Removes a claim, so that a resend may run.
+    """Deletes a claim, so that a retry may run the request.
 
     Attributes:
-        claim_id: The claim.
-        token: Identity of the try that did not run.
+        claim_id: ID of the claim.
+        token: ID of the attempt that did not run.
     """
 
     claim_id: str
--- a/src/hyssopway/control/command/request_member_change.py
+++ b/src/hyssopway/control/command/request_member_change.py
@@ -1,4 +1,4 @@
-"""Records that operators change a control member."""
+"""Records an operator's request to change the members of the control group."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RequestMemberChange:
-    """Keeps which member a change means, so that a resend never means its replacement.
+    """Stores which member a change applies to, so that a retry never applies to its replacement.
 
-    The members themselves are changed by entries of the log that are no commands.
+    The membership itself is changed by configuration entries of the log, which are not commands.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         action: One of add, promote, remove.
-        member: Member as the operator named it.
-        member_id: Member that the name meant when the change was asked for.
-        done: Whether the change is made.
+        member: Member as named by the operator.
+        member_id: ID of the member that had this name when the change was requested.
+        done: Whether the change is complete.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/request_move.py
+++ b/src/hyssopway/control/command/request_move.py
@@ -1,4 +1,4 @@
-"""Asks for the move of a VM to another pool."""
+"""Requests the move of a VM to another pool."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     """Takes a permit for a move; the leader moves the VM once it is empty.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         vm: Name of the VM.
         expected_epoch: Epoch of the VM that the operator saw.
         target: New pool.
--- a/src/hyssopway/control/command/resolve_claim.py
+++ b/src/hyssopway/control/command/resolve_claim.py
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ResolveClaim:
-    """Keeps the answer of a claimed request for resends.
+    """Stores the response to a claimed request for retries.
 
     Attributes:
-        claim_id: The claim.
-        token: Identity of the try that ran.
-        status: HTTP status of the answer.
-        content_type: Content type of the answer.
-        body: Answer in base64; None when it is too large to keep.
+        claim_id: ID of the claim.
+        token: ID of the attempt that ran.
+        status: HTTP status of the response.
+        content_type: Content type of the response.
+        body: Response body in base64; None if it is too large to store.
     """
 
     claim_id: str
--- a/src/hyssopway/control/command/return_permit.py
+++ b/src/hyssopway/control/command/return_permit.py
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ReturnPermit:
-    """Ends a planned stop; the VM is ready again unless it is down.
+    """Ends a planned stop; the VM becomes ready unless it is down.
 
     Attributes:
         vm: Name of the VM.
         holder: Holder of the permit.
-        reason: Why, for operators.
-        expected_epoch: Epoch of the VM that the proposer saw; None skips the comparison.
+        reason: Reason, shown to operators.
+        expected_epoch: Epoch of the VM that the proposer saw; None to skip the check.
     """
 
     vm: str
--- a/src/hyssopway/control/command/set_zone.py
+++ b/src/hyssopway/control/command/set_zone.py
@@ -1,4 +1,4 @@
-"""Withdraws or restores an availability zone."""
+"""Withdraws or returns an availability zone."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     """Changes whether tasks may start in an availability zone.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         zone: Availability zone.
         status: New status.
-        expected_epoch: Epoch of the zone that the operator saw; None skips the comparison.
+        expected_epoch: Epoch of the zone that the operator read; None to skip the check.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/start_run.py
+++ b/src/hyssopway/control/command/start_run.py
@@ -11,12 +11,12 @@
     """Places a pending job on a VM.
 
     Attributes:
-        job_id: The job.
-        epoch: Number of the run; one more than the last.
-        vm: VM that runs it.
+        job_id: ID of the job.
+        epoch: Number of the run; one more than that of the last run.
+        vm: VM to run it on.
         vm_epoch: Epoch of the VM that the scheduler saw.
-        reason: Why this VM, for `hyssopway explain`.
-        probe: Whether this run tests a quarantined VM.
+        reason: Why this VM was chosen, for `hyssopway explain`.
+        probe: Whether this run is a test of a quarantined VM.
     """
 
     job_id: str
--- a/src/hyssopway/control/command/start_wave.py
+++ b/src/hyssopway/control/command/start_wave.py
@@ -11,9 +11,9 @@
     """Starts a wave over the VMs of some pools.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
-        pools: Pools; all when empty.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
+        pools: Names of the pools; empty for all pools.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/take_permit.py
+++ b/src/hyssopway/control/command/take_permit.py
@@ -14,10 +14,10 @@
 
     Attributes:
         vm: Name of the VM.
-        purpose: What the VM is stopped for.
+        purpose: Purpose of the stop.
         holder: Wave, withdrawal or operator that holds the permit.
         expected_epoch: Epoch of the VM that the proposer saw.
-        target: New pool, for a move.
+        target: New pool, for a move; otherwise empty.
     """
 
     vm: str
--- a/src/hyssopway/control/command/trial_document.py
+++ b/src/hyssopway/control/command/trial_document.py
@@ -1,4 +1,4 @@
-"""Puts a document into the trial environment."""
+"""Activates a document in the trial environment."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrialDocument:
-    """Accepts a document for the trial environment.
+    """Activates a document in the trial environment.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
-        text: The document as written.
-        expected_generation: Generation of the trial document that the operator saw.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
+        text: Text of the document as written.
+        expected_generation: Generation of the trial document that the operator read.
     """
 
     request_id: str
--- a/src/hyssopway/control/command/withdraw_key.py
+++ b/src/hyssopway/control/command/withdraw_key.py
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WithdrawKey:
-    """Makes a key invalid for ever.
+    """Makes a key permanently invalid.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same one.
+        operator: Operator who sent the request.
         key_id: Public part of the key.
     """
 
--- a/src/hyssopway/control/envelope.py
+++ b/src/hyssopway/control/envelope.py
@@ -1,4 +1,4 @@
-"""A command with the times at which the leader took it."""
+"""A command with the time at which the leader proposed it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """One entry of the replicated log.
 
     Attributes:
-        at_ms: Agreed time in milliseconds, for decisions.
+        at_ms: Cluster time in milliseconds; decisions use only this time.
         wall_ms: Wall-clock time of the leader in milliseconds, for display only.
         command: The command.
     """
--- a/src/hyssopway/control/indexes.py
+++ b/src/hyssopway/control/indexes.py
@@ -1,4 +1,4 @@
-"""Values derived from the tables, kept for speed."""
+"""Indexes derived from the tables, updated with each command to avoid searches."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Indexes:
-    """What can be computed from the tables alone.
+    """Indexes that are derived from the tables and in no snapshot.
 
     Attributes:
-        parsed: Parsed document in force by environment.
-        pending: Pending jobs by id, in order of acceptance.
-        running: Ids of running jobs by VM.
-        usage: What the running tasks of each team hold.
+        parsed: Parsed active document by environment.
+        pending: Pending jobs by ID, in order of acceptance or requeueing.
+        running: IDs of running jobs by VM.
+        usage: Resources in use by the running tasks of each team.
         shapes: Capacities of the VMs of each pool.
-        touched: VMs whose worker may get other orders by the last command.
-        feed: Changes that the scheduler has not seen.
+        affected_vms: VMs whose worker may get different instructions after the last command.
+        feed: Changes that the scheduler has not read.
     """
 
     parsed: dict[str, EnvironmentDocument] = field(default_factory=dict)
@@ -41,25 +41,25 @@
     feed: ChangeFeed = field(default_factory=ChangeFeed)
 
     def update(self, command: Command, *, tables: Tables) -> None:
-        """Follows an applied command."""
+        """Updates the indexes after a command was applied."""
         self.feed.record_change(command)
         self.affected_vms = _find_affected_vms(command, tables=tables)
         if isinstance(command, RegisterVm | MoveVm):
             self.shapes.update(tables.vms[command.vm])
 
     def add_run(self, *, job: Job, vm: str) -> None:
-        """Counts a run that starts."""
+        """Adds a run that starts."""
         self.pending.pop(job.job_id, None)
         self.running.setdefault(vm, set()).add(job.job_id)
         self.usage.setdefault(job.team, TeamUsage()).add(job.spec.resources)
 
     def remove_run(self, *, job: Job, vm: str) -> None:
-        """Stops counting a run that ended."""
+        """Removes a run that ended."""
         self.running.get(vm, set()).discard(job.job_id)
         self.usage.setdefault(job.team, TeamUsage()).remove(job.spec.resources)
 
     def rebuild_jobs(self, tables: Tables) -> None:
-        """Computes all job indexes from the tables."""
+        """Rebuilds all job indexes from the tables."""
         self.pending.clear()
         self.running.clear()
         self.usage.clear()
--- a/src/hyssopway/control/outcome.py
+++ b/src/hyssopway/control/outcome.py
@@ -1,4 +1,4 @@
-"""Answer to a proposed command."""
+"""Outcome of a proposed command."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Outcome:
-    """What applying a command came to.
+    """Outcome of applying a command.
 
     Attributes:
-        index: Log index of the command; 0 when it was not applied.
-        generation: New generation or epoch of what was changed.
-        reference: Name of what was changed.
-        failure: Why nothing was changed.
+        index: Log index of the command; 0 if it was not applied.
+        generation: New generation or epoch of the record, or a result code or count that the command defines.
+        reference: Name or ID of the record that was changed.
+        failure: Why nothing was changed; None on success.
     """
 
     index: int = 0
--- a/src/hyssopway/control/pool_shapes.py
+++ b/src/hyssopway/control/pool_shapes.py
@@ -1,4 +1,4 @@
-"""Capacities of the VMs of each pool."""
+"""Distinct VM capacities (shapes) of each pool."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class PoolShapes:
-    """Counts equal capacities, so that a check looks at a few shapes and not at all VMs.
+    """Counts VMs of equal capacity, so that a check compares a few shapes instead of all VMs.
 
     Attributes:
-        counts: VMs of each capacity by pool.
-        known: Pool and capacity that each VM is counted under.
+        counts: Number of VMs of each capacity, by pool.
+        known: Pool and capacity that each VM is counted under, by VM name.
     """
 
     counts: dict[str, Counter[Resources]] = field(default_factory=dict)
     known: dict[str, tuple[str, Resources]] = field(default_factory=dict)
 
     def update(self, vm: Vm) -> None:
-        """Counts a VM that is new, was moved or changed its capacity."""
+        """Counts a VM that is new, was moved or has a different capacity."""
         if vm.name in self.known:
             pool, capacity = self.known[vm.name]
             self.counts[pool][capacity] -= 1
@@ -42,12 +42,12 @@
             self.update(vm)
 
     def exceeds_every_vm(self, *, pool: str, need: Resources) -> bool:
-        """Tells whether a pool has VMs and none of them could ever hold the need."""
+        """Returns whether a pool has VMs and none of them is large enough, even when empty."""
         shapes = self.counts.get(pool)
         return bool(shapes) and not any(need.fits_in(shape) for shape in shapes or ())
 
     def largest(self, *, pool: str) -> Resources:
-        """Returns the largest of each field over the VMs of a pool."""
+        """Returns the maximum of each resource over the VMs of a pool."""
         shapes = self.counts.get(pool, Counter())
         return Resources(
             cores=max((shape.cores for shape in shapes), default=0.0),
--- a/src/hyssopway/control/record/__init__.py
+++ b/src/hyssopway/control/record/__init__.py
@@ -1,4 +1,4 @@
-"""Records of the agreed state."""
+"""Records of the replicated state."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/control/record/drain_decision.py
+++ b/src/hyssopway/control/record/drain_decision.py
@@ -1,4 +1,4 @@
-"""What an operator decides about work that does not end."""
+"""Decision of an operator about the work on a VM whose drain is overdue."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class DrainDecision(StrEnum):
-    """Answer to the question that event 6006 asks about a drain."""
+    """Answer to event 6006, which asks operators about an overdue drain."""
 
     WAIT = "wait"
     STOP = "stop"
--- a/src/hyssopway/control/record/job.py
+++ b/src/hyssopway/control/record/job.py
@@ -8,7 +8,7 @@
 from .job_status import JobStatus
 from .run import Run
 
-# A job that is reclaimed again and again must not grow without bound in every replica.
+# Bounds the size of a job that is reclaimed repeatedly; every replica holds it.
 MAX_HISTORY = 32
 
 
@@ -17,21 +17,21 @@
     """A job from acceptance to its end.
 
     Attributes:
-        job_id: Identity.
+        job_id: ID of the job.
         team: Team that submitted it.
-        spec: What to run.
-        accepted_ms: Wall-clock time in milliseconds, for display.
+        spec: Specification as submitted.
+        accepted_ms: Wall-clock time of its acceptance in milliseconds, for display.
         accepted_index: Log index of its acceptance.
-        status: Where it stands.
-        run: The run in progress.
-        runs: Runs started so far.
-        failures: Runs that ended as failed.
-        not_before_ms: State time before which it is not started again.
-        cancelling: Whether its run is being stopped for a cancellation.
-        checkpoint: Where the next run continues.
-        detail: Message of the last run or reason of the end.
-        history: Decisions about this job, oldest first.
-        ended_ms: Wall-clock time of the end in milliseconds, for display.
+        status: Status of the job.
+        run: Run in progress; None if there is none.
+        runs: Number of runs started so far.
+        failures: Number of failed runs.
+        not_before_ms: Cluster time before which no further run starts (retry backoff).
+        cancelling: Whether its run is being stopped because the job was cancelled.
+        checkpoint: Checkpoint from which the next run continues; empty if there is none.
+        detail: Message of the last run, or why the job ended.
+        history: Latest decisions about this job, oldest first.
+        ended_ms: Wall-clock time of the end in milliseconds, for display; 0 until then.
     """
 
     job_id: str
@@ -51,7 +51,7 @@
     ended_ms: int = 0
 
     def add_history(self, decision: str) -> None:
-        """Adds a decision to the bounded history."""
+        """Adds a decision to the history and drops the oldest one beyond the limit."""
         self.history.append(decision)
         del self.history[:-MAX_HISTORY]
 
--- a/src/hyssopway/control/record/job_spec.py
+++ b/src/hyssopway/control/record/job_spec.py
@@ -1,4 +1,4 @@
-"""What a job asks for."""
+"""The specification of a job."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from hyssopway.document import Resources
 
-# Every job is replicated to all daemons and kept in snapshots; larger input belongs elsewhere.
+# Every job is replicated to all daemons and stored in snapshots, so larger input has to be stored elsewhere.
 MAX_ARGUMENTS_CHARACTERS = 65_536
 MAX_NAME_CHARACTERS = 200
 
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class JobSpec:
-    """A task and what it needs, as declared by the submitter.
+    """A task and its requirements, as declared by the submitter.
 
     Attributes:
-        task_kind: Kind of task; estimates are kept for each kind.
-        pool: Pool that runs it.
-        resources: Declared need.
-        run_s: Declared run time.
-        urgent: Whether it starts before all other work.
-        arguments: Passed to the worker unchanged.
-        checkpointable: Whether a run may continue from a checkpoint.
+        task_kind: Kind of task; resource estimates are learned per kind.
+        pool: Pool whose VMs run it.
+        resources: Declared resources.
+        run_s: Declared run time in seconds.
+        urgent: Whether it starts before all jobs that are not urgent.
+        arguments: Arguments, passed to the worker unchanged.
+        checkpointable: Whether a run can continue from a checkpoint.
     """
 
     task_kind: Name
--- a/src/hyssopway/control/record/job_status.py
+++ b/src/hyssopway/control/record/job_status.py
@@ -6,7 +6,7 @@
 
 
 class JobStatus(StrEnum):
-    """Where a job stands; the last four are final."""
+    """Status of a job; the last four are final."""
 
     PENDING = "pending"
     RUNNING = "running"
--- a/src/hyssopway/control/record/key.py
+++ b/src/hyssopway/control/record/key.py
@@ -1,4 +1,4 @@
-"""A key of a team."""
+"""An API key of a team."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Key:
-    """A key; only the hash of its secret is kept.
+    """An API key; only the hash of its secret part is stored.
 
     Attributes:
         key_id: Public part.
         key_hash: SHA-256 of the secret part, in hexadecimal.
-        team: Team that it stands for.
-        granted_by: Operator.
-        granted_ms: Wall-clock time of the grant, for display.
-        withdrawn_by: Operator; empty while the key is valid.
-        withdrawn_ms: Wall-clock time of the withdrawal, for display.
+        team: Team that the key belongs to.
+        granted_by: Operator who granted it.
+        granted_ms: Wall-clock time of the grant in milliseconds, for display.
+        withdrawn_by: Operator who withdrew it; empty while the key is valid.
+        withdrawn_ms: Wall-clock time of the withdrawal in milliseconds, for display.
     """
 
     key_id: str
--- a/src/hyssopway/control/record/permit.py
+++ b/src/hyssopway/control/record/permit.py
@@ -1,4 +1,4 @@
-"""A disruption permit."""
+"""A permit to disrupt one VM."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Permit:
-    """The right to stop one VM.
+    """A disruption permit, which allows its holder to stop one VM.
 
     Attributes:
-        vm: The VM.
-        purpose: What it is stopped for.
-        holder: Wave, withdrawal or operator.
-        at_ms: Agreed time in milliseconds; a drain is overdue counted from here.
+        vm: Name of the VM.
+        purpose: Purpose of the stop.
+        holder: Wave, withdrawal or operator that holds the permit.
+        at_ms: Cluster time in milliseconds from which the duration of the drain is counted.
         target: New pool of a VM that is to be moved.
-        asked: Whether operators were asked about work that does not end.
-        stop_work: Whether an operator had the work on the VM stopped.
+        stop_work: Whether an operator decided to stop the work on the VM.
+        asked: Whether operators were asked about the overdue drain.
     """
 
     vm: str
--- a/src/hyssopway/control/record/permit_purpose.py
+++ b/src/hyssopway/control/record/permit_purpose.py
@@ -1,4 +1,4 @@
-"""What a VM is stopped for."""
+"""Purposes of a planned stop."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PermitPurpose(StrEnum):
-    """What a disruption permit is for."""
+    """Purpose of a disruption permit."""
 
     MAINTENANCE = "maintenance"
     MOVE = "move"
--- a/src/hyssopway/control/record/reclaim_action.py
+++ b/src/hyssopway/control/record/reclaim_action.py
@@ -1,4 +1,4 @@
-"""How capacity is taken back from a run."""
+"""How capacity is reclaimed from a run."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ReclaimAction(StrEnum):
-    """What a worker does with a run that is reclaimed; empty when it is not."""
+    """Action of a worker on a run that is reclaimed; empty if the run is not reclaimed."""
 
     NONE = ""
     CHECKPOINT = "checkpoint"
--- a/src/hyssopway/control/record/run.py
+++ b/src/hyssopway/control/record/run.py
@@ -12,15 +12,15 @@
     """A run of a job on a VM.
 
     Attributes:
-        epoch: Number of the run.
-        vm: VM.
-        started_ms: Agreed time of its start in milliseconds.
-        reason: Why this VM.
-        probe: Whether it tests a quarantined VM.
-        boot_id: Worker process that it was placed on; no other process starts it.
-        started_index: Log index of its start.
-        home_epoch: Home epoch of the VM at its start.
-        reclaim: What the worker is asked to do so that others get the capacity.
+        epoch: Number of the run within the job.
+        vm: Name of the VM.
+        started_ms: Cluster time of the start in milliseconds.
+        reason: Why this VM was chosen.
+        probe: Whether the run is a test of a quarantined VM.
+        boot_id: ID of the worker process that the run was placed on; no other process starts it.
+        started_index: Log index of the start.
+        home_epoch: Home epoch of the VM at the start.
+        reclaim: Action that the worker is told to take to free capacity for other jobs.
     """
 
     epoch: int
--- a/src/hyssopway/control/record/stored_document.py
+++ b/src/hyssopway/control/record/stored_document.py
@@ -1,4 +1,4 @@
-"""A document in force."""
+"""An active or earlier document."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
     """One generation of an environment's document.
 
     Attributes:
-        environment: Environment.
-        generation: Counts from 1 in each environment.
+        environment: Name of the environment.
+        generation: Number of the generation, from 1 in each environment.
         digest: SHA-256 of the text.
-        text: The document as written.
-        operator: Who put it in force.
-        at_ms: Wall-clock time in milliseconds, for display.
+        text: Text of the document as written.
+        operator: Operator who activated it.
+        at_ms: Wall-clock time of the activation in milliseconds, for display.
     """
 
     environment: str
--- a/src/hyssopway/control/record/stored_outcome.py
+++ b/src/hyssopway/control/record/stored_outcome.py
@@ -1,4 +1,4 @@
-"""Outcome of an operator's change, kept for resends."""
+"""Outcome of an operator's command, stored for retries."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(slots=True, kw_only=True)
 class StoredOutcome:
-    """First outcome of a request id.
+    """First outcome for a request ID.
 
     Attributes:
-        fingerprint: Hash of the command.
-        outcome: What the first try was answered.
+        fingerprint: Hash of the command without its request ID.
+        outcome: Outcome of the first attempt.
     """
 
     fingerprint: str
--- a/src/hyssopway/control/record/vm.py
+++ b/src/hyssopway/control/record/vm.py
@@ -11,22 +11,22 @@
 
 @dataclass(slots=True, kw_only=True)
 class Vm:
-    """A VM with its pool, state and home entry.
+    """A worker VM with its pool, state and home.
 
     Attributes:
-        name: Name.
+        name: Name of the VM.
         zone: Availability zone.
-        rack: Rack.
-        pool: The one pool that it belongs to.
-        capacity: What it has.
-        home: Entry daemon that its worker syncs with.
-        home_epoch: Counts the changes of home.
-        boot_id: Identity of the worker process.
-        state: State.
-        epoch: Counts the changes of state and pool.
+        rack: Rack within the zone.
+        pool: Pool that it belongs to.
+        capacity: Total capacity.
+        home: Entry daemon that its worker reports to.
+        home_epoch: Number that rises with each change of the home or the worker process.
+        boot_id: ID of the worker process.
+        state: State of the VM.
+        epoch: Number that rises with each change of state or pool.
         reason: Why it is in this state.
-        moved_for: Holder of the permit of the move that took it out of its pool; empty once it is back.
-        moved_from: Pool that it goes back to later.
+        moved_for: Holder of the permit under which it was moved out of its pool; empty once it is back.
+        moved_from: Pool that it returns to later.
     """
 
     name: str
--- a/src/hyssopway/control/record/vm_state.py
+++ b/src/hyssopway/control/record/vm_state.py
@@ -6,7 +6,7 @@
 
 
 class VmState(StrEnum):
-    """State of a VM; `docs/design.md` has the table of transitions."""
+    """State of a VM; the table of transitions is in `docs/design.md`."""
 
     READY = "ready"
     DRAINING = "draining"
--- a/src/hyssopway/control/record/wave.py
+++ b/src/hyssopway/control/record/wave.py
@@ -14,17 +14,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class Wave:
-    """A wave and the progress of its VMs.
+    """A maintenance wave and the progress of its VMs.
 
     Attributes:
-        wave_id: Identity; also the holder of its permits.
-        operator: Who started it.
-        started_ms: Time of the leader in milliseconds.
-        status: Status.
+        wave_id: ID of the wave; also the holder of its permits.
+        operator: Operator who started it.
+        started_ms: Cluster time of the start in milliseconds.
+        status: Status of the wave.
         reason: Why it has this status.
-        epoch: Counts the changes of status.
-        lost_accepted: Lost VMs that an operator knew of when resuming.
-        vms: Progress by VM.
+        epoch: Number that rises with each change of status.
+        lost_accepted: Number of lost VMs that an operator accepted by resuming the wave.
+        vms: Progress by VM name.
     """
 
     wave_id: str
@@ -37,11 +37,11 @@
     vms: dict[str, WaveVm] = field(default_factory=dict)
 
     def select(self, *statuses: WaveVmStatus) -> Iterator[str]:
-        """Yields the VMs in some statuses."""
+        """Yields the names of the VMs that have one of the statuses."""
         return (name for name, vm in self.vms.items() if vm.status in statuses)
 
     def count(self, *statuses: WaveVmStatus) -> int:
-        """Counts the VMs in some statuses."""
+        """Counts the VMs that have one of the statuses."""
         return sum(1 for _ in self.select(*statuses))
 
 
--- a/src/hyssopway/control/record/wave_status.py
+++ b/src/hyssopway/control/record/wave_status.py
@@ -6,7 +6,7 @@
 
 
 class WaveStatus(StrEnum):
-    """Whether a wave stops further VMs; VMs in progress are finished in every status."""
+    """Status of a wave; only a running one stops further VMs, but VMs in progress are always finished."""
 
     RUNNING = "running"
     PAUSED = "paused"
--- a/src/hyssopway/control/record/wave_vm.py
+++ b/src/hyssopway/control/record/wave_vm.py
@@ -7,7 +7,7 @@
 
 
 class WaveVmStatus(StrEnum):
-    """Where a VM stands in a wave."""
+    """Status of a VM in a wave."""
 
     WAITING = "waiting"
     DRAINING = "draining"
@@ -20,13 +20,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class WaveVm:
-    """A VM in a wave.
+    """Progress of a VM in a wave.
 
     Attributes:
-        status: Where it stands.
-        changed_ms: Time of the leader in milliseconds of the last change.
-        boot_id: Worker process before the reboot; the VM is back when another one syncs.
-        reason: Why it was skipped or lost.
+        status: Status of the VM in the wave.
+        changed_ms: Cluster time of the last change of status in milliseconds.
+        boot_id: ID of the worker process before the reboot; the VM is back when a new process syncs.
+        reason: Reason of the last change, such as why it was skipped or lost.
     """
 
     status: WaveVmStatus = WaveVmStatus.WAITING
--- a/src/hyssopway/control/record/zone.py
+++ b/src/hyssopway/control/record/zone.py
@@ -12,10 +12,10 @@
     """An availability zone and whether tasks may start there.
 
     Attributes:
-        name: Name.
+        name: Name of the zone.
         status: Whether tasks may start there.
-        epoch: Counts the changes of status.
-        changed_by: Operator of the last change.
+        epoch: Number that rises with each change of status.
+        changed_by: Operator who made the last change.
     """
 
     name: str
--- a/src/hyssopway/control/request_ids.py
+++ b/src/hyssopway/control/request_ids.py
@@ -1,4 +1,4 @@
-"""Answer to a request id that was used for something else."""
+"""Outcome for a request ID that was used for another change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def refuse_reused_request_id(request_id: str) -> Outcome:
-    """Returns the refusal of a request id that came with another change before."""
+    """Returns the failed outcome for a request ID that an earlier, different change used."""
     message = f"request id {request_id!r} was used for another change; use a new one"
     return Outcome(failure=Failure(code=ResultCode.REQUEST_ID_REUSED, message=message))
 
--- a/src/hyssopway/control/run_end.py
+++ b/src/hyssopway/control/run_end.py
@@ -1,4 +1,4 @@
-"""The end of a run, as schedulers learn from it."""
+"""The end of a run, as passed to the scheduler."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
     """How a run of a job on a VM ended.
 
     Attributes:
-        job_id: Job.
+        job_id: ID of the job.
         epoch: Number of the run.
         team: Team of the job.
         task_kind: Kind of task.
-        vm: VM.
-        outcome: How it ended.
-        probe: Whether it tested a quarantined VM.
+        vm: VM that the run was on.
+        outcome: How the run ended.
+        probe: Whether the run was a test of a quarantined VM.
     """
 
     job_id: str
--- a/src/hyssopway/control/state.py
+++ b/src/hyssopway/control/state.py
@@ -1,4 +1,4 @@
-"""The deterministic state machine behind the replicated log."""
+"""The deterministic state machine that applies the replicated log."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 PRODUCTION = "production"
 TRIAL = "trial"
 
-# A resend hours later must find the first outcome: 22,000 changes a day are 917 an hour.
+# A retry hours later must find the first outcome. 22,000 changes a day are 917 an hour, so this keeps about 11 h.
 MAX_STORED_OUTCOMES = 10_000
 
 _TABLES_ADAPTER = TypeAdapter(Tables)
 
 
 class ControlState:
-    """Agreed state of one region.
+    """Replicated state of one region.
 
-    Every daemon applies the same commands in the same order, so nothing here may depend on local time,
-    randomness or iteration over sets.
+    Every daemon applies the same commands in the same order and must reach the same state. Nothing here may
+    depend on local time, randomness or the iteration order of sets.
 
     Attributes:
-        tables: Records, as kept in snapshots.
-        indexes: Values derived from the records.
+        tables: Records, as stored in snapshots.
+        indexes: Indexes derived from the records.
     """
 
     __slots__ = ("indexes", "tables")
@@ -51,15 +51,15 @@
 
     @property
     def applied_index(self) -> int:
-        """Log index of the last command applied."""
+        """Log index of the last applied entry."""
         return self.tables.applied_index
 
     def document(self, *, environment: str = PRODUCTION) -> EnvironmentDocument | None:
-        """Returns the document in force in an environment."""
+        """Returns the active document of an environment; None before the first."""
         return self.indexes.parsed.get(environment)
 
     def generation(self, *, environment: str = PRODUCTION) -> int:
-        """Returns the generation in force in an environment; 0 before the first."""
+        """Returns the active generation of an environment; 0 before the first."""
         stored = self.tables.documents.get(environment)
         return stored.generation if stored else 0
 
@@ -68,10 +68,13 @@
 
         Args:
             index: Log index of the entry.
-            data: Encoded envelope; empty for entries that only concern the log.
+            data: Encoded envelope; empty for entries of the log itself that hold no command.
 
         Returns:
-            What the command came to.
+            Outcome of the command.
+
+        Raises:
+            ValueError: The entry is already applied, or this release cannot decode it.
         """
         if index <= self.tables.applied_index:
             raise ValueError(f"entry {index} is already applied")
@@ -87,11 +90,15 @@
         return self._apply_once(index=index, command=command)
 
     def encode_snapshot(self) -> bytes:
-        """Encodes all records."""
+        """Encodes all records as a snapshot."""
         return _TABLES_ADAPTER.dump_json(self.tables)
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces all records by those of a snapshot."""
+        """Replaces all records by those of a snapshot and rebuilds the indexes.
+
+        Raises:
+            ValueError: The snapshot, or an active document in it, cannot be parsed.
+        """
         self.tables = _TABLES_ADAPTER.validate_json(data)
         self.indexes = Indexes()
         self.indexes.rebuild_jobs(self.tables)
@@ -101,7 +108,7 @@
                 case Result(tag="ok", ok=document):
                     self.indexes.parsed[environment] = document
                 case _:
-                    raise ValueError(f"document in force in {environment} does not parse")
+                    raise ValueError(f"active document of environment {environment} cannot be parsed")
 
     def _apply_operator_command(self, *, index: int, command: OperatorCommand) -> Outcome:
         command_hash = fingerprint(command)
--- a/src/hyssopway/control/tables.py
+++ b/src/hyssopway/control/tables.py
@@ -1,4 +1,4 @@
-"""The part of the agreed state that snapshots hold."""
+"""The part of the replicated state that snapshots contain."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class Tables:
-    """All records of the agreed state.
+    """All records of the replicated state.
 
     Attributes:
-        applied_index: Log index of the last command applied.
-        now_ms: Agreed time of the last command; never goes back.
-        wall_ms: Wall-clock time of the last command, for display only.
-        documents: Document in force by environment.
+        applied_index: Log index of the last applied entry.
+        now_ms: Cluster time of the last command in milliseconds; never goes back.
+        wall_ms: Wall-clock time of the last command in milliseconds, for display only.
+        documents: Active document by environment.
         history: Earlier documents, oldest first.
-        outcomes: First outcome by request id, oldest first.
-        keys: Keys by id.
+        outcomes: First outcome by request ID, oldest first.
+        keys: Keys by ID.
         zones: Availability zones by name.
         vms: VMs by name.
         permits: Disruption permits by VM.
-        waves: Maintenance waves by id, oldest first.
-        claims: Claims by id.
-        jobs: Jobs by id.
-        ended_jobs: Ids of ended jobs, oldest first.
-        cut_offs: Values of `cut_off_run_s` that a smaller one replaced, with the log index; a home that
-            was cut off before still renews leases by them.
+        waves: Maintenance waves by ID, oldest first.
+        claims: Claims by ID, oldest first.
+        jobs: Jobs by ID.
+        ended_jobs: IDs of ended jobs, oldest first.
+        cut_offs: Values of `cut_off_run_s` in seconds that were replaced by a smaller one, each with the log
+            index of the replacement. A home that was partitioned before it still renews leases by the old value.
     """
 
     applied_index: int = 0
@@ -49,7 +49,11 @@
     cut_offs: list[tuple[int, float]] = field(default_factory=list)
 
     def record_cut_off(self, replaced_s: float) -> None:
-        """Keeps a replaced value; of too many the two oldest become their larger one."""
+        """Stores a replaced value of `cut_off_run_s`.
+
+        Beyond the maximum, the two oldest values are merged into the larger one, so that no lease is taken to
+        have ended too early.
+        """
         self.cut_offs.append((self.applied_index, replaced_s))
         if len(self.cut_offs) > MAX_STORED_CUT_OFFS:
             first, second = self.cut_offs[:2]
--- a/src/hyssopway/control/team_usage.py
+++ b/src/hyssopway/control/team_usage.py
@@ -1,4 +1,4 @@
-"""What a team's running tasks hold."""
+"""Resources in use by the running tasks of a team."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class TeamUsage:
-    """Running tasks of one team.
+    """Usage of one team.
 
     Attributes:
         tasks: Number of running tasks.
-        resources: Sum of their declared needs.
+        resources: Sum of their declared resources.
     """
 
     tasks: int = 0
     resources: Resources = field(default_factory=Resources)
 
     def add(self, resources: Resources) -> None:
-        """Counts a task that starts."""
+        """Adds a task that starts."""
         self.tasks += 1
         self.resources = self.resources + resources
 
     def remove(self, resources: Resources) -> None:
-        """Stops counting a task that ended."""
+        """Removes a task that ended."""
         self.tasks -= 1
-        # The subtraction leaves rounding residue that would add up over many tasks.
+        # Reset at zero tasks: rounding errors of the subtraction would otherwise add up over many tasks.
         self.resources = self.resources - resources if self.tasks else Resources()
 
 
