--- a/src/hyssopway/control/record/job_spec.py
+++ b/src/hyssopway/control/record/job_spec.py
@@ -21,7 +21,7 @@
     """A task and its requirements, as declared by the submitter.
 
     Attributes:
-        task_kind: Kind of task; resource estimates are learned per kind.
+        task_kind: Kind of task; estimates are kept per kind.
         pool: Pool whose VMs run it.
         resources: Declared resources.
         run_s: Declared run time in seconds.
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the agreed state."""
+"""Fixtures of the replicated state."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 @pytest.fixture
 def agreed():
-    """A small fleet in agreed state."""
+    """A replicated state with a small fleet."""
     return small_fleet()
--- a/tests/control/small_fleet.py
+++ b/tests/control/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in agreed state."""
+"""A replicated state with a small fleet: three pools of eight VMs in two zones."""
 
 from __future__ import annotations
 
--- a/tests/control/test_fleet_machine.py
+++ b/tests/control/test_fleet_machine.py
@@ -1,4 +1,4 @@
-"""Any order of drains, moves, withdrawals, failures and returns keeps budgets and pools."""
+"""Budgets and pools stay correct under any order of drains, moves, withdrawals, failures and returns."""
 
 from __future__ import annotations
 
@@ -31,26 +31,26 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Compares each granted stop with a count made from the states before it."""
+    """Checks each permitted stop against a count of the VMs that were down before it."""
 
     def __init__(self):
         super().__init__()
         self.agreed = small_fleet()
         self.pools = {name: vm.pool for name, vm in self.agreed.state.tables.vms.items()}
 
-    def operate(self, kind, vm, **fields):
-        """Applies an operator's command."""
+    def apply_operator_command(self, kind, vm, **fields):
+        """Applies an operator's command; returns whether it succeeded."""
         index = self.agreed.state.applied_index
         common = {"vm": vm, "expected_epoch": self.agreed.vm(vm).epoch, "operator": "kim"}
         return self.agreed.apply(kind(**common, request_id=f"r{index}", **fields)).failure is None
 
-    def stop(self, vm, ask):
-        """Makes a planned stop and checks the count that allowed it."""
+    def stop(self, vm, request):
+        """Requests a planned stop and checks that the budgets allowed it if it was permitted."""
         known = self.agreed.vm(vm)
         vms = list(self.agreed.state.tables.vms.values())
         down = [v for v in vms if v.state is not VmState.READY and v.pool == known.pool and v.name != vm]
         held_before = vm in self.agreed.state.tables.permits
-        granted = ask()
+        granted = request()
         if not granted or held_before:
             return
         purpose = self.agreed.state.tables.permits[vm].purpose
@@ -65,12 +65,12 @@
     @rule(vm=VMS)
     def drain(self, vm):
         """An operator drains a VM."""
-        self.stop(vm, lambda: self.operate(DrainVm, vm))
+        self.stop(vm, lambda: self.apply_operator_command(DrainVm, vm))
 
     @rule(vm=VMS, pool=POOLS)
-    def ask_move(self, vm, pool):
-        """An operator asks for a move."""
-        self.stop(vm, lambda: self.operate(RequestMove, vm, target=pool))
+    def request_move(self, vm, pool):
+        """An operator requests a move."""
+        self.stop(vm, lambda: self.apply_operator_command(RequestMove, vm, target=pool))
 
     @rule(vm=VMS)
     def empty_for_withdrawal(self, vm):
@@ -91,22 +91,22 @@
 
     @rule(vm=VMS, pool=POOLS)
     def move(self, vm, pool):
-        """The leader makes a move."""
+        """The leader moves a VM."""
         known = self.agreed.vm(vm)
-        before = self.down_in(pool)
+        before = self.count_down(pool)
         command = MoveVm(vm=vm, target=pool, expected_epoch=known.epoch, reason="rule")
         if self.agreed.apply(command).failure is None:
             self.pools[vm] = pool
-            assert self.down_in(pool) <= max(before, BUDGET["max_down"])
+            assert self.count_down(pool) <= max(before, BUDGET["max_down"])
 
     def pick(self, state, number):
-        """Returns a VM in a state, so that long sequences get further than by chance."""
+        """Returns a VM in a state; a random VM would seldom be in the state that a later step needs."""
         names = sorted(vm.name for vm in self.agreed.state.tables.vms.values() if vm.state is state)
         return names[number % len(names)] if names else None
 
     @rule(number=st.integers(0, 7))
     def empty(self, number):
-        """A home entry reports a draining VM as empty."""
+        """A home reports that a draining VM is empty."""
         vm = self.pick(VmState.DRAINING, number)
         if vm:
             self.change(vm, VmState.DRAINED)
@@ -120,15 +120,15 @@
 
     @rule(number=st.integers(0, 7), status=st.sampled_from(list(WaveVmStatus)))
     def advance_empty(self, number, status):
-        """The leader takes an empty or rebooting VM to a step of the last wave."""
+        """The leader moves an empty or rebooting VM to a step of the last wave."""
         vm = self.pick(VmState.DRAINED, number) or self.pick(VmState.REBOOTING, number)
         if vm:
             self.advance_wave(vm, status, vm)
 
     @rule(vm=VMS)
-    def give_back(self, vm):
+    def return_vm(self, vm):
         """An operator returns a VM."""
-        self.operate(ReturnVm, vm)
+        self.apply_operator_command(ReturnVm, vm)
 
     @rule(zone=st.sampled_from(["east", "west"]), status=st.sampled_from(list(ZoneStatus)))
     def set_zone(self, zone, status):
@@ -140,14 +140,14 @@
     def start_wave(self, pools):
         """An operator starts a wave."""
         waves = self.agreed.state.tables.waves
-        busy = any(is_active(wave) for wave in waves.values())
+        has_active_wave = any(is_active(wave) for wave in waves.values())
         index = self.agreed.state.applied_index
         command = StartWave(pools=pools, request_id=f"w{index}", operator="kim")
-        assert (self.agreed.apply(command).failure is None) == (not busy)
+        assert (self.agreed.apply(command).failure is None) == (not has_active_wave)
 
     @rule(vm=VMS, status=st.sampled_from(list(WaveVmStatus)), replacement=VMS)
     def advance_wave(self, vm, status, replacement):
-        """The leader, or an older one, takes a VM to a step of the last wave."""
+        """The leader, or a former one, moves a VM to a step of the last wave."""
         waves = list(self.agreed.state.tables.waves.values())
         if not waves:
             return
@@ -160,7 +160,7 @@
             replacement=replacement,
         )
         stopped = replacement if status is WaveVmStatus.REPLACED else vm
-        # Only these two steps take a permit; the others may return one.
+        # Only these two steps take a permit; the others may return it.
         if status in (WaveVmStatus.DRAINING, WaveVmStatus.REPLACED):
             self.stop(stopped, lambda: self.agreed.apply(command).failure is None)
         else:
@@ -168,13 +168,13 @@
 
     @rule(vm=VMS, boot=st.integers(0, 2))
     def sync(self, vm, boot):
-        """A worker syncs, perhaps as a new process."""
+        """A worker syncs, possibly as a new process."""
         known = self.agreed.vm(vm)
         self.agreed.register(vm, zone=known.zone, rack=known.rack, pool=known.pool, boot_id=f"boot-{boot}")
 
     @rule(action=st.sampled_from(list(WaveAction)))
     def control_wave(self, action):
-        """An operator controls the last wave."""
+        """An operator pauses, resumes or aborts the last wave."""
         waves = list(self.agreed.state.tables.waves.values())
         for wave in waves[-1:]:
             self.agreed.apply(
@@ -187,7 +187,7 @@
                 )
             )
 
-    def down_in(self, pool):
+    def count_down(self, pool):
         """Counts the VMs of a pool that are not ready."""
         vms = self.agreed.state.tables.vms.values()
         return sum(vm.pool == pool and vm.state is not VmState.READY for vm in vms)
@@ -198,15 +198,15 @@
         assert {name: vm.pool for name, vm in self.agreed.state.tables.vms.items()} == self.pools
 
     @invariant()
-    def planned_stops_alone_keep_each_budget(self):
-        """Guards against a second permit at once."""
+    def permits_stay_within_each_budget(self):
+        """Guards against more permits at the same time than the budget of a pool allows."""
         tables = self.agreed.state.tables
         planned = Counter(tables.vms[vm].pool for vm in tables.permits)
         assert max(planned.values(), default=0) <= BUDGET["max_down"]
 
     @invariant()
     def wave_holds_the_permits_of_its_steps(self):
-        """Guards against a permit of a wave that nobody returns, and against a reboot without one."""
+        """Guards against a permit of a wave that is never returned, and against a reboot without a permit."""
         tables = self.agreed.state.tables
         in_progress = (WaveVmStatus.DRAINING, WaveVmStatus.REBOOTING)
         steps = {(wave.wave_id, vm) for wave in tables.waves.values() for vm in wave.select(*in_progress)}
@@ -218,7 +218,7 @@
 
     @invariant()
     def stopped_vm_has_a_permit(self):
-        """Guards against a VM that nobody puts back to work."""
+        """Guards against a stopped VM that is never returned to service."""
         tables = self.agreed.state.tables
         for vm in tables.vms.values():
             stopped = vm.state in (VmState.DRAINING, VmState.DRAINED, VmState.REBOOTING)
--- a/tests/control/test_jobs.py
+++ b/tests/control/test_jobs.py
@@ -1,4 +1,4 @@
-"""Rules of jobs and runs as they are applied."""
+"""Checks that are made when commands for jobs and runs are applied."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 @pytest.fixture
 def submitter() -> LocalSubmitter:
-    prepared = make_submitter()
-    prepared.register("vm")
-    return prepared
+    result = make_submitter()
+    result.register("vm")
+    return result
 
 
-def test_cancelled_batch_starts_nothing_later(submitter):
-    """Guards against a cancelled job that starts, and against a batch that reaches other teams."""
+def test_jobs_cancelled_together_never_start(submitter):
+    """Guards against a cancelled job that starts later, and against cancelling jobs of other teams."""
     for number in range(3):
         submitter.accept(f"j{number}")
     submitter.accept("other", team="blue")
@@ -49,7 +49,7 @@
 
 
 def test_job_bigger_than_every_vm_is_refused_with_the_reason(submitter):
-    """Guards against a job that waits for ever."""
+    """Guards against a job that waits forever because no VM is large enough."""
     big = Resources(cores=17, memory_gb=1)
     failure = submitter.accept("big", resources=big).failure
     assert failure is not None
@@ -60,7 +60,7 @@
 
 
 def test_history_is_bounded(submitter):
-    """Guards against a job that is reclaimed again and again and fills every replica."""
+    """Guards against unbounded growth, in every replica, of a job that is reclaimed repeatedly."""
     submitter.accept("j0")
     submitter.start("j0", "vm")
     reclaim = ReclaimRun(job_id="j0", epoch=1, action=ReclaimAction.THROTTLE, reason="test")
@@ -69,8 +69,8 @@
     assert len(submitter.state.tables.jobs["j0"].history) == MAX_HISTORY
 
 
-class JobRules(RuleBasedStateMachine):
-    """Commands in any order, also repeated and stale ones."""
+class JobMachine(RuleBasedStateMachine):
+    """Applies commands for jobs in any order, including repeated and stale ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -82,19 +82,19 @@
 
     @rule(job=JOBS)
     def accept(self, job):
-        """Accepts a job, or sends it again."""
+        """Accepts a job, or retries its submission."""
         if self.submitter.accept(job).failure is None:
             self.accepted.add(job)
 
     @rule(job=JOBS, epoch=EPOCHS, vm=st.sampled_from(["vm1", "vm2"]))
     def start(self, job, epoch, vm):
-        """Starts a run, perhaps a stale one."""
+        """Starts a run, possibly with a stale number."""
         started = self.submitter.start(job, vm, epoch=epoch).failure is None
         assert not (started and job in self.final)
 
     @rule(job=JOBS, epoch=EPOCHS, outcome=st.sampled_from(RunOutcome), vm=st.sampled_from(["", "vm1", "vm2"]))
     def end(self, job, epoch, outcome, vm):
-        """Reports an end, perhaps of another run."""
+        """Reports the end of a run, possibly of another one."""
         self.submitter.apply(EndRun(job_id=job, epoch=epoch, outcome=outcome, vm=vm))
 
     @rule(job=JOBS)
@@ -104,15 +104,15 @@
 
     @rule()
     def restore(self):
-        """Continues from a snapshot."""
+        """Replaces the state by one restored from its snapshot."""
         state = ControlState()
         state.restore_snapshot(self.submitter.state.encode_snapshot())
         assert state.indexes.usage.keys() <= self.submitter.state.indexes.usage.keys()
         self.submitter.replica.state = state
 
     @invariant()
-    def limits_and_outcomes_hold(self):
-        """Compares the state with the promises."""
+    def limits_and_final_statuses_hold(self):
+        """Guards against a team over its limit, a lost job, and a final status that changes."""
         jobs = self.submitter.state.tables.jobs
         running = [job for job in jobs.values() if job.status is JobStatus.RUNNING]
         assert len(running) <= 3
@@ -124,5 +124,5 @@
         assert all(jobs[name].status is status for name, status in self.final.items())
 
 
-TestJobRules = JobRules.TestCase
-TestJobRules.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
+TestJobMachine = JobMachine.TestCase
+TestJobMachine.settings = settings(derandomize=True, max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/control/test_permits.py
+++ b/tests/control/test_permits.py
@@ -1,4 +1,4 @@
-"""Permits, moves and returns against budgets."""
+"""Disruption permits, moves and returns under availability budgets."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 from hyssopway.result import ResultCode
 
 
-def take(agreed, vm, *, purpose=PermitPurpose.OPERATOR, holder="holder"):
+def take_permit(agreed, vm, *, purpose=PermitPurpose.OPERATOR, holder="holder"):
     command = TakePermit(vm=vm, purpose=purpose, holder=holder, expected_epoch=agreed.vm(vm).epoch)
     return code(agreed.apply(command))
 
 
-def change(agreed, vm, state):
+def change_state(agreed, vm, state):
     command = ChangeVm(vm=vm, state=state, expected_epoch=agreed.vm(vm).epoch, reason="test")
     return code(agreed.apply(command))
 
 
-def operate(agreed, kind, vm, request_id="r", **fields):
+def apply_operator_command(agreed, kind, vm, request_id="r", **fields):
     epoch = agreed.vm(vm).epoch
     return agreed.apply(kind(vm=vm, expected_epoch=epoch, request_id=request_id, operator="kim", **fields))
 
@@ -45,12 +45,12 @@
     return outcome.failure.code if outcome.failure else ResultCode.OK
 
 
-def drained(agreed, vm, purpose=PermitPurpose.OPERATOR):
-    assert take(agreed, vm, purpose=purpose) is ResultCode.OK
-    assert change(agreed, vm, VmState.DRAINED) is ResultCode.OK
+def drain_completely(agreed, vm, purpose=PermitPurpose.OPERATOR):
+    assert take_permit(agreed, vm, purpose=purpose) is ResultCode.OK
+    assert change_state(agreed, vm, VmState.DRAINED) is ResultCode.OK
 
 
-# VMs that fail, VMs under permits, the VM asked for, and the answer.
+# VMs that fail, VMs under permits, the VM that a permit is requested for, and the expected result code.
 BUDGET_CASES = {
     "first": ([], [], "web-0", ResultCode.OK),
     "same rack": ([], ["web-0"], "web-2", ResultCode.BUDGET_EXHAUSTED),
@@ -64,49 +64,49 @@
 
 
 @pytest.mark.parametrize("case", BUDGET_CASES)
-def test_permit_counts_planned_and_unplanned(agreed, case):
-    """Guards against a planned stop on top of failures."""
+def test_permit_counts_planned_and_unplanned_stops(agreed, case):
+    """Guards against a planned stop that exceeds a budget together with failures."""
     failed, planned, vm, expected = BUDGET_CASES[case]
     for name in planned:
-        assert take(agreed, name) is ResultCode.OK
+        assert take_permit(agreed, name) is ResultCode.OK
     for name in failed:
-        assert change(agreed, name, VmState.DOWN) is ResultCode.OK
-    assert take(agreed, vm) is expected
+        assert change_state(agreed, name, VmState.DOWN) is ResultCode.OK
+    assert take_permit(agreed, vm) is expected
 
 
-def test_service_budget_is_kept_besides_pool_budget(agreed):
-    """Guards against a service whose budget is tighter than that of its pool."""
+def test_service_budget_applies_in_addition_to_pool_budget(agreed):
+    """Guards against ignoring the budget of a service that is tighter than that of its pool."""
     data = copy.deepcopy(agreed.data)
     data["services"][0]["budget"] = {"max_down": 1}
     agreed.change_document(data)
-    assert take(agreed, "web-0") is ResultCode.OK
-    assert take(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
+    assert take_permit(agreed, "web-0") is ResultCode.OK
+    assert take_permit(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
 
 
-def test_lowered_budget_holds_for_the_next_permit(agreed):
+def test_lowered_budget_applies_to_the_next_permit(agreed):
     """Guards against permits that are checked against an older document."""
-    assert take(agreed, "web-0") is ResultCode.OK
+    assert take_permit(agreed, "web-0") is ResultCode.OK
     data = copy.deepcopy(agreed.data)
     data["pools"][0]["budget"]["max_down"] = 1
     agreed.change_document(data)
-    assert take(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
+    assert take_permit(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
 
 
-def test_vm_of_dropped_pool_can_only_be_moved(agreed):
-    """Guards against VMs that are stuck in a pool that a newer document dropped."""
+def test_vm_of_removed_pool_can_only_be_moved(agreed):
+    """Guards against VMs that can't leave a pool that a newer document removed."""
     data = copy.deepcopy(agreed.data)
     data["pools"] = [pool for pool in data["pools"] if pool["name"] != "batch"]
     agreed.change_document(data)
-    assert take(agreed, "batch-0") is ResultCode.BUDGET_EXHAUSTED
-    assert code(operate(agreed, RequestMove, "batch-0", target="web")) is ResultCode.OK
+    assert take_permit(agreed, "batch-0") is ResultCode.BUDGET_EXHAUSTED
+    assert code(apply_operator_command(agreed, RequestMove, "batch-0", target="web")) is ResultCode.OK
 
 
-def test_moved_vm_is_ready_at_once_and_takes_no_budget_of_its_new_pool(agreed):
-    """Guards against a move that brings a stopped VM into a pool without a permit there."""
-    drained(agreed, "web-0")
-    drained(agreed, "web-1")
-    drained(agreed, "spare-0", PermitPurpose.MOVE)
-    drained(agreed, "spare-1")
+def test_moved_vm_is_ready_at_once_and_does_not_use_the_budget_of_its_new_pool(agreed):
+    """Guards against a move that adds a stopped VM to a pool whose budget does not allow it."""
+    drain_completely(agreed, "web-0")
+    drain_completely(agreed, "web-1")
+    drain_completely(agreed, "spare-0", PermitPurpose.MOVE)
+    drain_completely(agreed, "spare-1")
     moves = [
         MoveVm(vm=vm, target="web", expected_epoch=agreed.vm(vm).epoch, reason="test")
         for vm in ("spare-0", "spare-1")
@@ -126,65 +126,65 @@
     ],
 )
 def test_withdrawal_permit_needs_withdrawn_zone(agreed, status, expected):
-    """Guards against a late withdrawal that ignores rack budgets after the zone came back."""
+    """Guards against a delayed withdrawal command that ignores rack limits after the zone has returned."""
     set_zone(agreed, "east", ZoneStatus.WITHDRAWN)
-    assert take(agreed, "web-0", purpose=PermitPurpose.WITHDRAWAL) is ResultCode.OK
+    assert take_permit(agreed, "web-0", purpose=PermitPurpose.WITHDRAWAL) is ResultCode.OK
     set_zone(agreed, "east", status)
-    assert take(agreed, "web-2", purpose=PermitPurpose.WITHDRAWAL) is expected
+    assert take_permit(agreed, "web-2", purpose=PermitPurpose.WITHDRAWAL) is expected
 
 
-def test_failures_of_a_withdrawn_zone_break_only_the_whole_budget(agreed):
-    """Guards against a withdrawn zone whose rack failure stops maintenance everywhere."""
+def test_failures_in_a_withdrawn_zone_count_only_towards_max_down(agreed):
+    """Guards against a rack failure in a withdrawn zone that blocks planned stops in all other zones."""
     set_zone(agreed, "east", ZoneStatus.WITHDRAWN)
     for vm in ("web-0", "web-2"):
-        change(agreed, vm, VmState.DOWN)
-    assert take(agreed, "batch-1") is ResultCode.OK
-    change(agreed, "web-4", VmState.DOWN)
-    assert take(agreed, "batch-5") is ResultCode.BUDGET_BROKEN
+        change_state(agreed, vm, VmState.DOWN)
+    assert take_permit(agreed, "batch-1") is ResultCode.OK
+    change_state(agreed, "web-4", VmState.DOWN)
+    assert take_permit(agreed, "batch-5") is ResultCode.BUDGET_BROKEN
 
 
-def test_permit_is_not_returned_early_by_an_older_leader(agreed):
-    """Guards against a VM that takes work while it reboots."""
-    drained(agreed, "web-0")
+def test_permit_is_not_returned_early_by_a_former_leader(agreed):
+    """Guards against a VM that is given work while it reboots."""
+    drain_completely(agreed, "web-0")
     old = ReturnPermit(vm="web-0", holder="holder", reason="", expected_epoch=agreed.vm("web-0").epoch - 1)
     assert code(agreed.apply(old)) is ResultCode.STALE_EPOCH
-    change(agreed, "web-0", VmState.REBOOTING)
+    change_state(agreed, "web-0", VmState.REBOOTING)
     late = ReturnPermit(vm="web-0", holder="holder", reason="")
     assert code(agreed.apply(late)) is ResultCode.VM_STATE_CONFLICT
 
 
-def test_vm_that_comes_back_without_permit_is_not_stuck_as_drained(agreed):
-    """Guards against a drained VM whose permit nobody holds."""
-    change(agreed, "web-0", VmState.DOWN)
-    assert change(agreed, "web-0", VmState.DRAINED) is ResultCode.VM_STATE_CONFLICT
-    assert change(agreed, "web-0", VmState.READY) is ResultCode.OK
+def test_vm_that_recovers_without_permit_does_not_stay_drained(agreed):
+    """Guards against a drained VM without a permit, which nothing would return to service."""
+    change_state(agreed, "web-0", VmState.DOWN)
+    assert change_state(agreed, "web-0", VmState.DRAINED) is ResultCode.VM_STATE_CONFLICT
+    assert change_state(agreed, "web-0", VmState.READY) is ResultCode.OK
 
 
-def test_operators_race_for_one_vm(agreed):
-    """Guards against a second operator who takes over a drain, and a resend that drains again."""
+def test_second_operator_cannot_take_over_a_drain(agreed):
+    """Guards against an operator who takes over another one's drain, and a retry that drains the VM again."""
     command = DrainVm(vm="web-0", expected_epoch=1, request_id="r1", operator="kim")
     first = agreed.apply(command)
     assert (code(first), agreed.apply(command)) == (ResultCode.OK, first)
     rival = DrainVm(vm="web-0", expected_epoch=2, request_id="r2", operator="lee")
     assert code(agreed.apply(rival)) is ResultCode.VM_STATE_CONFLICT
-    assert code(operate(agreed, ReturnVm, "web-0", "r3")) is ResultCode.OK
+    assert code(apply_operator_command(agreed, ReturnVm, "web-0", "r3")) is ResultCode.OK
     assert agreed.apply(command) == first
     assert agreed.vm("web-0").state is VmState.READY
 
 
-def test_operator_does_not_return_a_permit_of_maintenance(agreed):
-    """Guards against a VM that a wave reboots after an operator put it back to work."""
-    take(agreed, "web-0", purpose=PermitPurpose.MAINTENANCE, holder="wave-1")
-    assert code(operate(agreed, ReturnVm, "web-0")) is ResultCode.VM_STATE_CONFLICT
+def test_operator_cannot_return_a_permit_of_a_wave(agreed):
+    """Guards against a VM that a wave reboots after an operator returned it to service."""
+    take_permit(agreed, "web-0", purpose=PermitPurpose.MAINTENANCE, holder="wave-1")
+    assert code(apply_operator_command(agreed, ReturnVm, "web-0")) is ResultCode.VM_STATE_CONFLICT
 
 
-def test_decision_is_kept_with_the_permit(agreed):
-    """Guards against an operator's answer that a new leader does not know."""
-    operate(agreed, DrainVm, "web-0", "r1")
+def test_drain_decision_is_stored_with_the_permit(agreed):
+    """Guards against an operator's decision that a new leader does not know."""
+    apply_operator_command(agreed, DrainVm, "web-0", "r1")
     agreed.now_ms = 5000
-    operate(agreed, DecideDrain, "web-0", "r2", decision=DrainDecision.WAIT)
+    apply_operator_command(agreed, DecideDrain, "web-0", "r2", decision=DrainDecision.WAIT)
     assert agreed.state.tables.permits["web-0"].at_ms == 5000
-    operate(agreed, DecideDrain, "web-0", "r3", decision=DrainDecision.STOP)
+    apply_operator_command(agreed, DecideDrain, "web-0", "r3", decision=DrainDecision.STOP)
     data = agreed.state.encode_snapshot()
     agreed.state.restore_snapshot(data)
     assert agreed.state.tables.permits["web-0"].stop_work
--- a/tests/states.py
+++ b/tests/states.py
@@ -1,4 +1,4 @@
-"""Agreed states and fakes for tests of the job path."""
+"""Replicated states, and fakes of the submitter and the clock, for tests of jobs."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 @dataclass
 class LocalSubmitter:
-    """Applies commands at once to a replica; while `is_partitioned`, only after the timeout."""
+    """Applies commands to a local replica; at once, or only after the timeout while `is_partitioned`."""
 
     replica: Replica
     at_ms: int = 1_000
@@ -52,11 +52,11 @@
     outcomes: list[Any] = field(default_factory=list)
 
     def now_ms(self) -> int:
-        """Returns agreed time."""
+        """Returns the cluster time in milliseconds."""
         return self.at_ms
 
     async def submit(self, command: Any, *, timeout_s: float = 5.0) -> Result[Outcome, Failure]:
-        """Applies a command, late while cut off."""
+        """Applies a command; only after the timeout while partitioned."""
         if self.is_partitioned:
             await asyncio.sleep(timeout_s)
         self.commands.append(command)
@@ -70,14 +70,14 @@
         return self.replica.apply(index=self.replica.applied_index + 1, data=data)
 
     def apply_or_fail(self, command: Any) -> Outcome:
-        """Applies a command that may not be refused."""
+        """Applies a command and fails the test if it is refused."""
         outcome = self.apply(command)
         assert outcome.failure is None, outcome.failure
         return outcome
 
     @property
     def state(self) -> ControlState:
-        """Agreed state."""
+        """State of the replica."""
         return self.replica.state
 
     def register(
@@ -98,7 +98,7 @@
 
 
 def make_submitter(*, document: str = DOCUMENT) -> LocalSubmitter:
-    """Returns a state with the document in force and a key for each team."""
+    """Returns a submitter whose state has an active document and a key for each team."""
     submitter = LocalSubmitter(replica=Replica())
     trial = TrialDocument(text=document, expected_generation=0, request_id="t", operator="o")
     digest = submitter.apply_or_fail(trial).reference
@@ -115,16 +115,17 @@
 
 @dataclass
 class ManualClock:
-    """Time that tests move."""
+    """A clock that tests advance."""
 
     now: float = 100.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the time in seconds."""
         return self.now
 
 
 def make_freshness(clock: ManualClock) -> Freshness:
+    """Returns a freshness that is confirmed now and covers all log entries."""
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock.now)
     freshness.cover(index=1_000_000)
