--- a/src/hyssopway/control/indexes.py
+++ b/src/hyssopway/control/indexes.py
@@ -28,7 +28,7 @@
         running: IDs of running jobs by VM.
         usage: Resources in use by the running tasks of each team.
         shapes: Capacities of the VMs of each pool.
-        affected_vms: VMs whose worker may get different instructions after the last command.
+        touched: VMs whose worker may get different instructions after the last command.
         feed: Changes that the scheduler has not read.
     """
 
@@ -37,13 +37,13 @@
     running: dict[str, set[str]] = field(default_factory=dict)
     usage: dict[str, TeamUsage] = field(default_factory=dict)
     shapes: PoolShapes = field(default_factory=PoolShapes)
-    affected_vms: list[str] = field(default_factory=list)
+    touched: list[str] = field(default_factory=list)
     feed: ChangeFeed = field(default_factory=ChangeFeed)
 
     def update(self, command: Command, *, tables: Tables) -> None:
         """Updates the indexes after a command was applied."""
         self.feed.record_change(command)
-        self.affected_vms = _find_affected_vms(command, tables=tables)
+        self.touched = _find_affected_vms(command, tables=tables)
         if isinstance(command, RegisterVm | MoveVm):
             self.shapes.update(tables.vms[command.vm])
 
--- a/src/hyssopway/replica/replica.py
+++ b/src/hyssopway/replica/replica.py
@@ -50,7 +50,7 @@
         outcome = self.state.apply(index=index, data=data)
         self.recent.append(data)
         self._wake()
-        for vm in self.state.indexes.affected_vms:
+        for vm in self.state.indexes.touched:
             self.wake_vm(vm)
         return outcome
 
