--- a/src/hyssopway/control/indexes.py
+++ b/src/hyssopway/control/indexes.py
@@ -40,7 +40,7 @@
     touched: list[str] = field(default_factory=list)
     feed: ChangeFeed = field(default_factory=ChangeFeed)
 
-    def update(self, command: Command, *, tables: Tables) -> None:
+    def update_after(self, command: Command, *, tables: Tables) -> None:
         """Updates the indexes after a command was applied."""
         self.feed.record_change(command)
         self.touched = _find_affected_vms(command, tables=tables)
--- a/src/hyssopway/control/state.py
+++ b/src/hyssopway/control/state.py
@@ -128,7 +128,7 @@
     def _apply_once(self, *, index: int, command: Command) -> Outcome:
         match apply_command(state=self, command=command):
             case Result(tag="ok", ok=change):
-                self.indexes.update(command, tables=self.tables)
+                self.indexes.update_after(command, tables=self.tables)
                 return Outcome(index=index, generation=change.generation, reference=change.reference)
             case Result(error=failure):
                 return Outcome(index=index, failure=failure)
--- a/tests/workflow/conftest.py
+++ b/tests/workflow/conftest.py
@@ -61,12 +61,12 @@
 
 
 def make_workflow(name, *, steps=None, **spec):
-    steps = steps or (Step(count=2, cpu_millis=1000, estimate_ms=100), Step(count=1, after=(0,)))
+    workflow_steps = steps or (Step(count=2, cpu_millis=1000, estimate_ms=100), Step(count=1, after=(0,)))
     return AcceptWorkflow(
         workflow_id=name,
         queue="plans",
         team="pantry",
-        spec=WorkflowSpec(specification="text", steps=steps, **spec),
+        spec=WorkflowSpec(specification="text", steps=workflow_steps, **spec),
         at_ms=5,
     )
 
--- a/tests/workflow/test_state.py
+++ b/tests/workflow/test_state.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    "invalidate",
+    "spoil",
     [
         pytest.param(lambda log: end(log, "w.0.0.0", RunOutcome.DONE), id="task done"),
         pytest.param(lambda log: log.apply(CancelWorkflow(workflow_id="w", at_ms=1)), id="cancelled"),
@@ -98,11 +98,11 @@
         pytest.param(lambda _: None, id="run in progress"),
     ],
 )
-def test_start_that_is_no_longer_allowed_is_skipped(log, invalidate):
+def test_start_that_is_no_longer_allowed_is_skipped(log, spoil):
     """Guards against a start that was proposed before another command made it invalid."""
     log.apply(make_workflow("w"))
     start(log, "w.0.0.0")
-    invalidate(log)
+    spoil(log)
     before = {run.key for runs in log.state.tables.runs.values() for run in runs}
     start(log, "w.0.0.0", run=2, vm="vm-2")
     after = {run.key for runs in log.state.tables.runs.values() for run in runs}
