--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -7,6 +7,6 @@
 
 
 @pytest.fixture
-def agreed():
+def fleet():
     """A replicated state with a small fleet."""
     return small_fleet()
--- a/tests/control/small_fleet.py
+++ b/tests/control/small_fleet.py
@@ -21,9 +21,9 @@
 
 
 def small_fleet(**budget):
-    agreed = AgreedStandIn.prepare(data=small_document(**budget))
+    fleet = AgreedStandIn.prepare(data=small_document(**budget))
     for pool in ("web", "batch", "spare"):
         for number in range(8):
             zone = ("east", "west")[number % 2]
-            agreed.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
-    return agreed
+            fleet.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
+    return fleet
--- a/tests/control/test_permits.py
+++ b/tests/control/test_permits.py
@@ -21,33 +21,33 @@
 from hyssopway.result import ResultCode
 
 
-def take_permit(agreed, vm, *, purpose=PermitPurpose.OPERATOR, holder="holder"):
-    command = TakePermit(vm=vm, purpose=purpose, holder=holder, expected_epoch=agreed.vm(vm).epoch)
-    return code(agreed.apply(command))
+def take_permit(fleet, vm, *, purpose=PermitPurpose.OPERATOR, holder="holder"):
+    command = TakePermit(vm=vm, purpose=purpose, holder=holder, expected_epoch=fleet.vm(vm).epoch)
+    return code(fleet.apply(command))
 
 
-def change_state(agreed, vm, state):
-    command = ChangeVm(vm=vm, state=state, expected_epoch=agreed.vm(vm).epoch, reason="test")
-    return code(agreed.apply(command))
+def change_state(fleet, vm, state):
+    command = ChangeVm(vm=vm, state=state, expected_epoch=fleet.vm(vm).epoch, reason="test")
+    return code(fleet.apply(command))
 
 
-def apply_operator_command(agreed, kind, vm, request_id="r", **fields):
-    epoch = agreed.vm(vm).epoch
-    return agreed.apply(kind(vm=vm, expected_epoch=epoch, request_id=request_id, operator="kim", **fields))
+def apply_operator_command(fleet, kind, vm, request_id="r", **fields):
+    epoch = fleet.vm(vm).epoch
+    return fleet.apply(kind(vm=vm, expected_epoch=epoch, request_id=request_id, operator="kim", **fields))
 
 
-def set_zone(agreed, zone, status):
-    index = agreed.state.applied_index
-    agreed.apply(SetZone(zone=zone, status=status, request_id=f"z{index}", operator="kim"))
+def set_zone(fleet, zone, status):
+    index = fleet.state.applied_index
+    fleet.apply(SetZone(zone=zone, status=status, request_id=f"z{index}", operator="kim"))
 
 
 def code(outcome):
     return outcome.failure.code if outcome.failure else ResultCode.OK
 
 
-def drain_completely(agreed, vm, purpose=PermitPurpose.OPERATOR):
-    assert take_permit(agreed, vm, purpose=purpose) is ResultCode.OK
-    assert change_state(agreed, vm, VmState.DRAINED) is ResultCode.OK
+def drain_completely(fleet, vm, purpose=PermitPurpose.OPERATOR):
+    assert take_permit(fleet, vm, purpose=purpose) is ResultCode.OK
+    assert change_state(fleet, vm, VmState.DRAINED) is ResultCode.OK
 
 
 # VMs that fail, VMs under permits, the VM that a permit is requested for, and the expected result code.
@@ -64,57 +64,57 @@
 
 
 @pytest.mark.parametrize("case", BUDGET_CASES)
-def test_permit_counts_planned_and_unplanned_stops(agreed, case):
+def test_permit_counts_planned_and_unplanned_stops(fleet, case):
     """Guards against a planned stop that exceeds a budget together with failures."""
     failed, planned, vm, expected = BUDGET_CASES[case]
     for name in planned:
-        assert take_permit(agreed, name) is ResultCode.OK
+        assert take_permit(fleet, name) is ResultCode.OK
     for name in failed:
-        assert change_state(agreed, name, VmState.DOWN) is ResultCode.OK
-    assert take_permit(agreed, vm) is expected
+        assert change_state(fleet, name, VmState.DOWN) is ResultCode.OK
+    assert take_permit(fleet, vm) is expected
 
 
-def test_service_budget_applies_in_addition_to_pool_budget(agreed):
+def test_service_budget_applies_in_addition_to_pool_budget(fleet):
     """Guards against ignoring the budget of a service that is tighter than that of its pool."""
-    data = copy.deepcopy(agreed.data)
+    data = copy.deepcopy(fleet.data)
     data["services"][0]["budget"] = {"max_down": 1}
-    agreed.change_document(data)
-    assert take_permit(agreed, "web-0") is ResultCode.OK
-    assert take_permit(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
+    fleet.change_document(data)
+    assert take_permit(fleet, "web-0") is ResultCode.OK
+    assert take_permit(fleet, "web-5") is ResultCode.BUDGET_EXHAUSTED
 
 
-def test_lowered_budget_applies_to_the_next_permit(agreed):
+def test_lowered_budget_applies_to_the_next_permit(fleet):
     """Guards against permits that are checked against an older document."""
-    assert take_permit(agreed, "web-0") is ResultCode.OK
-    data = copy.deepcopy(agreed.data)
+    assert take_permit(fleet, "web-0") is ResultCode.OK
+    data = copy.deepcopy(fleet.data)
     data["pools"][0]["budget"]["max_down"] = 1
-    agreed.change_document(data)
-    assert take_permit(agreed, "web-5") is ResultCode.BUDGET_EXHAUSTED
+    fleet.change_document(data)
+    assert take_permit(fleet, "web-5") is ResultCode.BUDGET_EXHAUSTED
 
 
-def test_vm_of_removed_pool_can_only_be_moved(agreed):
+def test_vm_of_removed_pool_can_only_be_moved(fleet):
     """Guards against VMs that can't leave a pool that a newer document removed."""
-    data = copy.deepcopy(agreed.data)
+    data = copy.deepcopy(fleet.data)
     data["pools"] = [pool for pool in data["pools"] if pool["name"] != "batch"]
-    agreed.change_document(data)
-    assert take_permit(agreed, "batch-0") is ResultCode.BUDGET_EXHAUSTED
-    assert code(apply_operator_command(agreed, RequestMove, "batch-0", target="web")) is ResultCode.OK
+    fleet.change_document(data)
+    assert take_permit(fleet, "batch-0") is ResultCode.BUDGET_EXHAUSTED
+    assert code(apply_operator_command(fleet, RequestMove, "batch-0", target="web")) is ResultCode.OK
 
 
-def test_moved_vm_is_ready_at_once_and_does_not_use_the_budget_of_its_new_pool(agreed):
+def test_moved_vm_is_ready_at_once_and_does_not_use_the_budget_of_its_new_pool(fleet):
     """Guards against a move that adds a stopped VM to a pool whose budget does not allow it."""
-    drain_completely(agreed, "web-0")
-    drain_completely(agreed, "web-1")
-    drain_completely(agreed, "spare-0", PermitPurpose.MOVE)
-    drain_completely(agreed, "spare-1")
+    drain_completely(fleet, "web-0")
+    drain_completely(fleet, "web-1")
+    drain_completely(fleet, "spare-0", PermitPurpose.MOVE)
+    drain_completely(fleet, "spare-1")
     moves = [
-        MoveVm(vm=vm, target="web", expected_epoch=agreed.vm(vm).epoch, reason="test")
+        MoveVm(vm=vm, target="web", expected_epoch=fleet.vm(vm).epoch, reason="test")
         for vm in ("spare-0", "spare-1")
     ]
-    assert [code(agreed.apply(move)) for move in moves] == [ResultCode.OK, ResultCode.BUDGET_EXHAUSTED]
-    assert (agreed.vm("spare-0").pool, agreed.vm("spare-0").state) == ("web", VmState.READY)
-    assert "spare-0" not in agreed.state.tables.permits
-    assert agreed.vm("spare-1").pool == "spare"
+    assert [code(fleet.apply(move)) for move in moves] == [ResultCode.OK, ResultCode.BUDGET_EXHAUSTED]
+    assert (fleet.vm("spare-0").pool, fleet.vm("spare-0").state) == ("web", VmState.READY)
+    assert "spare-0" not in fleet.state.tables.permits
+    assert fleet.vm("spare-1").pool == "spare"
 
 
 @pytest.mark.parametrize(
@@ -125,66 +125,66 @@
         (ZoneStatus.OPEN, ResultCode.VM_STATE_CONFLICT),
     ],
 )
-def test_withdrawal_permit_needs_withdrawn_zone(agreed, status, expected):
+def test_withdrawal_permit_needs_withdrawn_zone(fleet, status, expected):
     """Guards against a delayed withdrawal command that ignores rack limits after the zone has returned."""
-    set_zone(agreed, "east", ZoneStatus.WITHDRAWN)
-    assert take_permit(agreed, "web-0", purpose=PermitPurpose.WITHDRAWAL) is ResultCode.OK
-    set_zone(agreed, "east", status)
-    assert take_permit(agreed, "web-2", purpose=PermitPurpose.WITHDRAWAL) is expected
+    set_zone(fleet, "east", ZoneStatus.WITHDRAWN)
+    assert take_permit(fleet, "web-0", purpose=PermitPurpose.WITHDRAWAL) is ResultCode.OK
+    set_zone(fleet, "east", status)
+    assert take_permit(fleet, "web-2", purpose=PermitPurpose.WITHDRAWAL) is expected
 
 
-def test_failures_in_a_withdrawn_zone_count_only_towards_max_down(agreed):
+def test_failures_in_a_withdrawn_zone_count_only_towards_max_down(fleet):
     """Guards against a rack failure in a withdrawn zone that blocks planned stops in all other zones."""
-    set_zone(agreed, "east", ZoneStatus.WITHDRAWN)
+    set_zone(fleet, "east", ZoneStatus.WITHDRAWN)
     for vm in ("web-0", "web-2"):
-        change_state(agreed, vm, VmState.DOWN)
-    assert take_permit(agreed, "batch-1") is ResultCode.OK
-    change_state(agreed, "web-4", VmState.DOWN)
-    assert take_permit(agreed, "batch-5") is ResultCode.BUDGET_BROKEN
+        change_state(fleet, vm, VmState.DOWN)
+    assert take_permit(fleet, "batch-1") is ResultCode.OK
+    change_state(fleet, "web-4", VmState.DOWN)
+    assert take_permit(fleet, "batch-5") is ResultCode.BUDGET_BROKEN
 
 
-def test_permit_is_not_returned_early_by_a_former_leader(agreed):
+def test_permit_is_not_returned_early_by_a_former_leader(fleet):
     """Guards against a VM that is given work while it reboots."""
-    drain_completely(agreed, "web-0")
-    old = ReturnPermit(vm="web-0", holder="holder", reason="", expected_epoch=agreed.vm("web-0").epoch - 1)
-    assert code(agreed.apply(old)) is ResultCode.STALE_EPOCH
-    change_state(agreed, "web-0", VmState.REBOOTING)
+    drain_completely(fleet, "web-0")
+    old = ReturnPermit(vm="web-0", holder="holder", reason="", expected_epoch=fleet.vm("web-0").epoch - 1)
+    assert code(fleet.apply(old)) is ResultCode.STALE_EPOCH
+    change_state(fleet, "web-0", VmState.REBOOTING)
     late = ReturnPermit(vm="web-0", holder="holder", reason="")
-    assert code(agreed.apply(late)) is ResultCode.VM_STATE_CONFLICT
+    assert code(fleet.apply(late)) is ResultCode.VM_STATE_CONFLICT
 
 
-def test_vm_that_recovers_without_permit_does_not_stay_drained(agreed):
+def test_vm_that_recovers_without_permit_does_not_stay_drained(fleet):
     """Guards against a drained VM without a permit, which nothing would return to service."""
-    change_state(agreed, "web-0", VmState.DOWN)
-    assert change_state(agreed, "web-0", VmState.DRAINED) is ResultCode.VM_STATE_CONFLICT
-    assert change_state(agreed, "web-0", VmState.READY) is ResultCode.OK
+    change_state(fleet, "web-0", VmState.DOWN)
+    assert change_state(fleet, "web-0", VmState.DRAINED) is ResultCode.VM_STATE_CONFLICT
+    assert change_state(fleet, "web-0", VmState.READY) is ResultCode.OK
 
 
-def test_second_operator_cannot_take_over_a_drain(agreed):
+def test_second_operator_cannot_take_over_a_drain(fleet):
     """Guards against an operator who takes over another one's drain, and a retry that drains the VM again."""
     command = DrainVm(vm="web-0", expected_epoch=1, request_id="r1", operator="kim")
-    first = agreed.apply(command)
-    assert (code(first), agreed.apply(command)) == (ResultCode.OK, first)
+    first = fleet.apply(command)
+    assert (code(first), fleet.apply(command)) == (ResultCode.OK, first)
     rival = DrainVm(vm="web-0", expected_epoch=2, request_id="r2", operator="lee")
-    assert code(agreed.apply(rival)) is ResultCode.VM_STATE_CONFLICT
-    assert code(apply_operator_command(agreed, ReturnVm, "web-0", "r3")) is ResultCode.OK
-    assert agreed.apply(command) == first
-    assert agreed.vm("web-0").state is VmState.READY
+    assert code(fleet.apply(rival)) is ResultCode.VM_STATE_CONFLICT
+    assert code(apply_operator_command(fleet, ReturnVm, "web-0", "r3")) is ResultCode.OK
+    assert fleet.apply(command) == first
+    assert fleet.vm("web-0").state is VmState.READY
 
 
-def test_operator_cannot_return_a_permit_of_a_wave(agreed):
+def test_operator_cannot_return_a_permit_of_a_wave(fleet):
     """Guards against a VM that a wave reboots after an operator returned it to service."""
-    take_permit(agreed, "web-0", purpose=PermitPurpose.MAINTENANCE, holder="wave-1")
-    assert code(apply_operator_command(agreed, ReturnVm, "web-0")) is ResultCode.VM_STATE_CONFLICT
+    take_permit(fleet, "web-0", purpose=PermitPurpose.MAINTENANCE, holder="wave-1")
+    assert code(apply_operator_command(fleet, ReturnVm, "web-0")) is ResultCode.VM_STATE_CONFLICT
 
 
-def test_drain_decision_is_stored_with_the_permit(agreed):
+def test_drain_decision_is_stored_with_the_permit(fleet):
     """Guards against an operator's decision that a new leader does not know."""
-    apply_operator_command(agreed, DrainVm, "web-0", "r1")
-    agreed.now_ms = 5000
-    apply_operator_command(agreed, DecideDrain, "web-0", "r2", decision=DrainDecision.WAIT)
-    assert agreed.state.tables.permits["web-0"].at_ms == 5000
-    apply_operator_command(agreed, DecideDrain, "web-0", "r3", decision=DrainDecision.STOP)
-    data = agreed.state.encode_snapshot()
-    agreed.state.restore_snapshot(data)
-    assert agreed.state.tables.permits["web-0"].stop_work
+    apply_operator_command(fleet, DrainVm, "web-0", "r1")
+    fleet.now_ms = 5000
+    apply_operator_command(fleet, DecideDrain, "web-0", "r2", decision=DrainDecision.WAIT)
+    assert fleet.state.tables.permits["web-0"].at_ms == 5000
+    apply_operator_command(fleet, DecideDrain, "web-0", "r3", decision=DrainDecision.STOP)
+    data = fleet.state.encode_snapshot()
+    fleet.state.restore_snapshot(data)
+    assert fleet.state.tables.permits["web-0"].stop_work
