--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -101,7 +101,7 @@
         self.progress: dict[str, Progress] = {}
         self.progress_changed = asyncio.Event()
         self.waiting: dict[int, tuple[int, asyncio.Future[Outcome | None]]] = {}
-        self.term_start = 0
+        self.term_start_index = 0
         self.suspended_until = float("-inf")
         self.held_up_since = float("inf")
         self.lock = asyncio.Lock()
@@ -204,7 +204,11 @@
         A quorum answered messages sent at or after that time in this term, so no other leader committed
         anything before it.
         """
-        if not self.is_leader or self.commit_index < self.term_start or self.applied_index < self.term_start:
+        if (
+            not self.is_leader
+            or self.commit_index < self.term_start_index
+            or self.applied_index < self.term_start_index
+        ):
             return float("-inf")
         times = sorted(
             (
@@ -296,7 +300,7 @@
         }
         self.progress_changed.set()
         self.store.entries.append(Entry(term=self.term, kind=EntryKind.NO_OPERATION))
-        self.term_start = self.store.last_index
+        self.term_start_index = self.store.last_index
         self.unsynced.set()
         log_event(Event.LEADER_ELECTED, term=self.term)
 
--- a/src/hyssopway/agreement/membership.py
+++ b/src/hyssopway/agreement/membership.py
@@ -60,7 +60,10 @@
 
 def next_configuration(*, member: Member, change: MemberChange) -> Result[Configuration, Failure]:
     """Returns the configuration after a change, equal to the present one when there is nothing to do."""
-    if member.commit_index < member.term_start or member.store.configuration_index() > member.commit_index:
+    if (
+        member.commit_index < member.term_start_index
+        or member.store.configuration_index() > member.commit_index
+    ):
         message = "another change of members, or the start of the leader's term, is not committed yet"
         return _refuse(ResultCode.MEMBERSHIP_BUSY, message, retry_after_s=1.0)
     match change:
--- a/src/hyssopway/job/unordered_runs.py
+++ b/src/hyssopway/job/unordered_runs.py
@@ -117,7 +117,7 @@
 
     def _find_ends(self, home: str) -> list[EndRun]:
         silent_s = self.lost_homes.silent_s(home)
-        confirmed = max(self.covered.get(home, 0), self.member.term_start)
+        confirmed = max(self.covered.get(home, 0), self.member.term_start_index)
         state = self.replica.state
         return [
             EndRun(
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -206,7 +206,7 @@
         member = self.member
         while True:
             await asyncio.sleep(LEAD_CHECK_S)
-            if not member.is_leader or member.applied_index < member.term_start:
+            if not member.is_leader or member.applied_index < member.term_start_index:
                 continue
             leadership = Leadership(member=member, state=self.state, clock=monotonic_s)
             tables = self.state.tables
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -203,7 +203,7 @@
         while time.monotonic() < deadline:
             found = [self.nodes[n] for n in among if n in self.nodes and self.nodes[n].member.is_leader]
             best = max(found, key=lambda node: node.member.term, default=None)
-            if best is not None and best.member.commit_index >= best.member.term_start > 0:
+            if best is not None and best.member.commit_index >= best.member.term_start_index > 0:
                 return best
             await asyncio.sleep(0.01)
         raise AssertionError("no leader in time")
--- a/tests/agreement/test_membership.py
+++ b/tests/agreement/test_membership.py
@@ -83,7 +83,7 @@
 async def test_new_leader_changes_members_only_after_its_first_commit(group: Group):
     """Guards against a change on top of an uncommitted change of an earlier leader."""
     leader = await group.leader()
-    leader.member.commit_index = leader.member.term_start - 1
+    leader.member.commit_index = leader.member.term_start_index - 1
     result = await leader.member.change_members(RemoveMember(member_id="a/0"), timeout_s=1)
     assert result.error.code is ResultCode.MEMBERSHIP_BUSY
 
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_unordered_runs.py
@@ -25,7 +25,7 @@
 
     is_leader: bool = True
     term: int = 1
-    term_start: int = 0
+    term_start_index: int = 0
 
 
 @dataclass
@@ -109,7 +109,7 @@
         case "confirmed with the start":
             world.runs.covered["h2"] = started
         case "started in a former term":
-            world.member.term_start = started + 1
+            world.member.term_start_index = started + 1
         case "worker moved to another home":
             world.submitter.register("vm", home="h3")
             world.submitter.register("vm", home="h2")
@@ -145,7 +145,7 @@
     await world.check()
     await world.check(after_s=SILENT_S + 0.1)
     world.proposer.unknown = False
-    world.member.term, world.member.term_start = 3, 1_000
+    world.member.term, world.member.term_start_index = 3, 1_000
     await world.check()
     assert world.status is JobStatus.RUNNING
     assert world.runs.withheld == {}
