--- a/src/hyssopway/agreement/election.py
+++ b/src/hyssopway/agreement/election.py
@@ -30,12 +30,12 @@
     """Starts an election after each silence, for as long as the member runs."""
     lost = 0
     # A member that has just started knows no leader.
-    member.doubt.begin()
+    member.leader_suspicion.start()
     while member.role is not Role.STOPPED:
         # Growing timeouts let a group whose disks are slow elect a leader at all.
         factor = 2 ** min(lost, MAX_DOUBLINGS)
         timeout_s = factor * rng.uniform(member.timers.election_min_s, member.timers.election_max_s)
-        is_doubted = await member.doubt.wait(
+        is_doubted = await member.leader_suspicion.wait(
             timeout_s=timeout_s if not member.is_leader else member.timers.heartbeat_s
         )
         if member.is_leader or member.leader_id:
@@ -66,7 +66,7 @@
 
 
 def _may_run_early(member: Member) -> bool:
-    is_doubted = member.doubt.holds(heard_at=member.heard_at)
+    is_doubted = member.leader_suspicion.is_active(heard_at=member.heard_at)
     return is_doubted and not member.is_leader and _may_campaign(member, silence_s=float("-inf"))
 
 
--- a/src/hyssopway/agreement/leader_doubt.py
+++ b/src/hyssopway/agreement/leader_suspicion.py
@@ -9,7 +9,7 @@
     from hyssopway.clock import Clock
 
 
-class LeaderDoubt:
+class LeaderSuspicion:
     """Whether a member has a reason to look for another leader.
 
     A lost connection or a start of the own process says much earlier than a long silence that a leader may be
@@ -21,31 +21,31 @@
         raised: Set when a doubt begins.
     """
 
-    __slots__ = ("began_at", "clock", "raised")
+    __slots__ = ("clock", "started", "started_at")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
-        self.began_at = float("-inf")
-        self.raised = asyncio.Event()
+        self.started_at = float("-inf")
+        self.started = asyncio.Event()
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begins a doubt now."""
-        self.began_at = self.clock()
-        self.raised.set()
+        self.started_at = self.clock()
+        self.started.set()
 
-    def holds(self, *, heard_at: float) -> bool:
+    def is_active(self, *, heard_at: float) -> bool:
         """Tells whether no leader was heard since the doubt began."""
-        return self.began_at >= heard_at
+        return self.started_at >= heard_at
 
     async def wait(self, *, timeout_s: float) -> bool:
         """Waits for a doubt to begin and tells whether one did."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self.raised.wait()
+                await self.started.wait()
         except TimeoutError:
             return False
-        self.raised.clear()
+        self.started.clear()
         return True
 
 
-__all__ = ["LeaderDoubt"]
+__all__ = ["LeaderSuspicion"]
--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -22,7 +22,7 @@
 from .configuration import Configuration, daemon_of
 from .crash_points import crash_point
 from .entry import Entry, EntryKind
-from .leader_doubt import LeaderDoubt
+from .leader_suspicion import LeaderSuspicion
 from .membership import next_configuration
 from .progress import Progress
 from .role import Role
@@ -96,7 +96,7 @@
         self.started_at = clock() if started_at is None else started_at
         self.heard_at = self.started_at
         self.granted_at = float("-inf")
-        self.doubt = LeaderDoubt(clock=clock)
+        self.leader_suspicion = LeaderSuspicion(clock=clock)
         self.configuration = Configuration()
         self.progress: dict[str, Progress] = {}
         self.progress_changed = asyncio.Event()
--- a/src/hyssopway/agreement/voting.py
+++ b/src/hyssopway/agreement/voting.py
@@ -55,7 +55,7 @@
     if not member.leader_id:
         # The process before this one may have heard a leader that still acts.
         return now - member.started_at < timers.doubt_s
-    is_doubted = member.doubt.holds(heard_at=member.heard_at)
+    is_doubted = member.leader_suspicion.is_active(heard_at=member.heard_at)
     return now - member.heard_at < (timers.doubt_s if is_doubted else timers.election_min_s)
 
 
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -100,7 +100,7 @@
     def note_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if self.member is not None and daemon == self.member.leader_daemon:
-            self.member.doubt.begin()
+            self.member.leader_suspicion.start()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
         """Answers a vote request."""
--- a/src/hyssopway/node/control_calls.py
+++ b/src/hyssopway/node/control_calls.py
@@ -53,7 +53,7 @@
     def note_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if daemon == self.member.leader_daemon:
-            self.member.doubt.begin()
+            self.member.leader_suspicion.start()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
         """Answers a vote request."""
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -266,7 +266,7 @@
         if self.member.leader_id == data.decode():
             self.member.leader_id = ""
             self.member.heard_at = float("-inf")
-            self.member.doubt.begin()
+            self.member.leader_suspicion.start()
         return b""
 
     async def _take_joiner(self, data: bytes) -> bytes:
--- a/tests/agreement/test_early_elections.py
+++ b/tests/agreement/test_early_elections.py
@@ -111,7 +111,7 @@
     await patient_group.stop(leader)
     started = time.monotonic()
     for name in others:
-        patient_group.nodes[name].member.doubt.begin()
+        patient_group.nodes[name].member.leader_suspicion.start()
     await patient_group.leader(among=others)
     assert time.monotonic() - started < EARLY_ELECTION_S
 
@@ -123,7 +123,7 @@
     term = leader.member.term
     for _ in range(5):
         for node in patient_group.nodes.values():
-            node.member.doubt.begin()
+            node.member.leader_suspicion.start()
         await asyncio.sleep(0.2)
     assert leader.member.is_leader
     assert leader.member.term == term
@@ -136,7 +136,7 @@
     follower, candidate = _two_others(leader)
     member = patient_group.nodes[follower].member
     await asyncio.sleep(SLOW_TIMERS.heartbeat_s * 3)
-    member.doubt.begin()
+    member.leader_suspicion.start()
     request = _pre_vote(member, candidate=f"{candidate}/0")
     assert not (await answer_vote(member=member, request=request)).granted
     real = VoteRequest(
