--- a/src/hyssopway/agreement/__init__.py
+++ b/src/hyssopway/agreement/__init__.py
@@ -10,7 +10,7 @@
 from .membership import AddLearner, MemberChange, PromoteLearner, RemoveMember
 from .replication import answer_append, answer_snapshot, run_replication
 from .role import Role
-from .snapshot_parts import SnapshotParts
+from .snapshot_assembler import SnapshotAssembler
 from .storage_error import InitialiseRefusedError, LogDamagedError, StorageError
 from .store import Store
 from .timers import Timers
@@ -26,7 +26,7 @@
     "PromoteLearner",
     "RemoveMember",
     "Role",
-    "SnapshotParts",
+    "SnapshotAssembler",
     "StorageError",
     "Store",
     "Timers",
--- a/src/hyssopway/agreement/replication.py
+++ b/src/hyssopway/agreement/replication.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .member import Member
     from .progress import Progress
-    from .snapshot_parts import SnapshotParts
+    from .snapshot_assembler import SnapshotAssembler
     from .transport import Transport
 
 MAX_BATCH_BYTES = 512 * 1024
@@ -82,7 +82,9 @@
     return member.role is Role.FOLLOWER and request.term == member.term and request.leader == member.leader_id
 
 
-async def answer_snapshot(*, member: Member, parts: SnapshotParts, chunk: SnapshotChunk) -> AppendReply:
+async def answer_snapshot(
+    *, member: Member, assembler: SnapshotAssembler, chunk: SnapshotChunk
+) -> AppendReply:
     """Collects a snapshot of the leader and installs it when it is complete."""
     async with member.lock:
         member.check_running()
@@ -90,10 +92,10 @@
             return _reply(member, success=False, match_index=0)
         try:
             await _follow(member, term=chunk.term, leader=chunk.leader)
-            if not parts.add(chunk):
+            if not assembler.add(chunk):
                 return _reply(member, success=False, match_index=0)
             if chunk.last and chunk.index > member.commit_index:
-                await _install(member=member, chunk=chunk, data=bytes(parts.data))
+                await _install(member=member, chunk=chunk, data=bytes(assembler.data))
         except StorageError as error:
             member.fail_storage(error)
             return _reply(member, success=False, match_index=0)
--- a/src/hyssopway/agreement/snapshot_parts.py
+++ b/src/hyssopway/agreement/snapshot_assembler.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class SnapshotParts:
+class SnapshotAssembler:
     """Parts of one snapshot of one leader.
 
     Attributes:
@@ -33,4 +33,4 @@
         return True
 
 
-__all__ = ["SnapshotParts"]
+__all__ = ["SnapshotAssembler"]
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -10,7 +10,7 @@
 from pydantic_core import from_json, to_json
 
 from hyssopway.agreement import (
-    SnapshotParts,
+    SnapshotAssembler,
     answer_append,
     answer_snapshot,
     answer_vote,
@@ -95,7 +95,7 @@
         self.withheld: dict[str, list[EndRun]] = {}
         self.router = router
         self.exchanges: dict[str, Callable[[Any], Any]] = {}
-        self.parts = SnapshotParts()
+        self.parts = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
@@ -112,7 +112,9 @@
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
         """Takes a part of a snapshot."""
-        return await run_to_completion(answer_snapshot(member=self._member(), parts=self.parts, chunk=chunk))
+        return await run_to_completion(
+            answer_snapshot(member=self._member(), assembler=self.parts, chunk=chunk)
+        )
 
     async def propose(self, command: bytes) -> ProposeReply:
         """Proposes a command if this daemon leads."""
--- a/src/hyssopway/node/control_calls.py
+++ b/src/hyssopway/node/control_calls.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NoReturn
 
 from hyssopway.agreement import (
-    SnapshotParts,
+    SnapshotAssembler,
     answer_append,
     answer_snapshot,
     answer_vote,
@@ -43,12 +43,12 @@
         parts: Snapshot of a leader while it arrives.
     """
 
-    __slots__ = ("exchanges", "member", "parts")
+    __slots__ = ("assembler", "exchanges", "member")
 
     def __init__(self, *, member: Member, exchanges: dict[str, Callable[[bytes], Awaitable[bytes]]]) -> None:
         self.member = member
         self.exchanges = exchanges
-        self.parts = SnapshotParts()
+        self.assembler = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
@@ -65,7 +65,9 @@
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
         """Takes a part of a snapshot."""
-        return await run_to_completion(answer_snapshot(member=self.member, parts=self.parts, chunk=chunk))
+        return await run_to_completion(
+            answer_snapshot(member=self.member, assembler=self.assembler, chunk=chunk)
+        )
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
         """Answers an exchange."""
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -11,7 +11,7 @@
     Configuration,
     Member,
     Role,
-    SnapshotParts,
+    SnapshotAssembler,
     Store,
     answer_append,
     answer_snapshot,
@@ -41,7 +41,7 @@
     def __init__(self, *, member: Member, replica: Replica) -> None:
         self.member = member
         self.replica = replica
-        self.parts = SnapshotParts()
+        self.parts = SnapshotAssembler()
         self.tasks: list[asyncio.Task[None]] = []
 
 
@@ -68,7 +68,9 @@
     async def install_snapshot(self, *, daemon: str, chunk: Any, timeout_s: float) -> Any:
         """Implements `Transport`."""
         return await self._deliver(
-            daemon, timeout_s, lambda node: answer_snapshot(member=node.member, parts=node.parts, chunk=chunk)
+            daemon,
+            timeout_s,
+            lambda node: answer_snapshot(member=node.member, assembler=node.parts, chunk=chunk),
         )
 
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[GroupNode], Any]) -> Any:
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -13,7 +13,7 @@
     Configuration,
     Member,
     Role,
-    SnapshotParts,
+    SnapshotAssembler,
     StorageError,
     Store,
     Timers,
@@ -87,7 +87,7 @@
 
     member: Member
     machine: Machine
-    parts: SnapshotParts = field(default_factory=SnapshotParts)
+    assembler: SnapshotAssembler = field(default_factory=SnapshotAssembler)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
@@ -119,7 +119,7 @@
         if self.group.on_chunk is not None:
             await self.group.on_chunk(self.group.nodes[daemon], chunk)
         return await self._deliver(
-            daemon, timeout_s, lambda n: answer_snapshot(member=n.member, parts=n.parts, chunk=chunk)
+            daemon, timeout_s, lambda n: answer_snapshot(member=n.member, assembler=n.assembler, chunk=chunk)
         )
 
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[Node], Any]) -> Any:
--- a/tests/agreement/test_cancelled_writes.py
+++ b/tests/agreement/test_cancelled_writes.py
@@ -14,7 +14,7 @@
 from hyssopway.agreement import (
     Configuration,
     Member,
-    SnapshotParts,
+    SnapshotAssembler,
     Store,
     Timers,
     answer_append,
@@ -111,7 +111,7 @@
         data=b"",
         last=True,
     )
-    return answer_snapshot(member=member, parts=SnapshotParts(), chunk=chunk)
+    return answer_snapshot(member=member, assembler=SnapshotAssembler(), chunk=chunk)
 
 
 def _vote(member: Member) -> Awaitable[Any]:
--- a/tests/agreement/test_group.py
+++ b/tests/agreement/test_group.py
@@ -68,7 +68,9 @@
         )
         for leader, index, offset, last in (("b/0", 500, 0, False), ("b/0", 600, 3, True))
     ]
-    replies = [await answer_snapshot(member=node.member, parts=node.parts, chunk=chunk) for chunk in chunks]
+    replies = [
+        await answer_snapshot(member=node.member, assembler=node.assembler, chunk=chunk) for chunk in chunks
+    ]
     assert [reply.success for reply in replies] == [True, False]
     assert node.store.snapshot.index == 0
 
