--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -77,7 +77,7 @@
         *,
         daemon: str,
         store: Store,
-        machine: StateMachine,
+        state_machine: StateMachine,
         clock: Clock,
         timers: Timers | None = None,
         snapshot_entries: int = 10_000,
@@ -85,7 +85,7 @@
     ) -> None:
         self.daemon = daemon
         self.store = store
-        self.machine = machine
+        self.state_machine = state_machine
         self.clock = clock
         self.timers = timers or Timers()
         self.snapshot_entries = snapshot_entries
@@ -140,7 +140,7 @@
         self.store.open(daemon=self.daemon, initial=initial)
         self.configuration = self.store.configuration()
         if self.store.snapshot.index:
-            self.machine.restore_snapshot(self.store.snapshot.data)
+            self.state_machine.restore_snapshot(self.store.snapshot.data)
         self.commit_index = self.applied_index = self.store.snapshot.index
 
     async def propose(self, *, data: bytes, timeout_s: float) -> Result[Outcome, Failure]:
@@ -390,7 +390,7 @@
         index = self.applied_index + 1
         entry = self.store.entries[index - self.store.snapshot.index - 1]
         data = entry.data if entry.kind is EntryKind.COMMAND else b""
-        outcome = self.machine.apply(index=index, data=data)
+        outcome = self.state_machine.apply(index=index, data=data)
         self.applied_index = index
         if entry.kind is EntryKind.COMMAND:
             crash_point("applied")
@@ -413,7 +413,7 @@
                 index=index,
                 term=self.store.term_at(index) or 0,
                 configuration=self.store.configuration_at(index),
-                data=self.machine.encode_snapshot(),
+                data=self.state_machine.encode_snapshot(),
             )
             try:
                 await self.run_write(self.store.write_snapshot, snapshot=snapshot)
--- a/src/hyssopway/agreement/replication.py
+++ b/src/hyssopway/agreement/replication.py
@@ -290,7 +290,7 @@
     )
     await member.run_write(member.store.write_snapshot, snapshot=snapshot)
     member.store.adopt_snapshot(snapshot)
-    member.machine.restore_snapshot(data)
+    member.state_machine.restore_snapshot(data)
     member.commit_index = member.applied_index = chunk.index
     member.adopt_configuration()
     log_event(Event.SNAPSHOT_INSTALLED, index=chunk.index)
--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -120,7 +120,7 @@
         return Member(
             daemon=self.settings.name,
             store=Store(folder=Path(self.settings.data_dir)),
-            machine=self.replica,
+            state_machine=self.replica,
             clock=self.clock,
             snapshot_entries=self.settings.snapshot_entries,
         )
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -87,7 +87,7 @@
         self.member = Member(
             daemon=settings.host,
             store=Store(folder=settings.data_dir),
-            machine=self.state,
+            state_machine=self.state,
             clock=monotonic_s,
             timers=TIMERS,
             snapshot_entries=SNAPSHOT_ENTRIES,
--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -135,7 +135,7 @@
             size = sum(file.stat().st_size for file in path.rglob("*") if file.is_file())
             started = time.monotonic()
             replica = Replica()
-            member = Member(daemon="a", store=Store(folder=path), machine=replica, clock=time.monotonic)
+            member = Member(daemon="a", store=Store(folder=path), state_machine=replica, clock=time.monotonic)
             member.open(initial=None)
             measurement.figures[f"restart at {changes} changes s"] = time.monotonic() - started
             measurement.figures[f"disk at {changes} changes MB"] = size / 1e6
@@ -144,7 +144,7 @@
 
 async def _fill_alone(folder: Path, *, changes: int) -> None:
     replica = Replica()
-    member = Member(daemon="a", store=Store(folder=folder), machine=replica, clock=time.monotonic)
+    member = Member(daemon="a", store=Store(folder=folder), state_machine=replica, clock=time.monotonic)
     member.open(initial=Configuration(voters=("a/0",)))
     tasks = [
         asyncio.create_task(member.sync_own_log()),
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -98,7 +98,7 @@
         for name in names:
             replica = Replica()
             store = Store(folder=self.folder / name)
-            member = Member(daemon=name, store=store, machine=replica, clock=time.monotonic)
+            member = Member(daemon=name, store=store, state_machine=replica, clock=time.monotonic)
             member.open(initial=initial)
             node = self.nodes[name] = GroupNode(member=member, replica=replica)
             wire = LocalTransport(nodes=self.nodes)
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -86,7 +86,7 @@
     """One member with its tasks."""
 
     member: Member
-    machine: Machine
+    state_machine: Machine
     assembler: SnapshotAssembler = field(default_factory=SnapshotAssembler)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
@@ -157,17 +157,17 @@
         """Starts members; without `initial` as members with a new identity."""
         configuration = Configuration(voters=tuple(f"{name}/0" for name in NAMES)) if initial else None
         for name in names:
-            machine = Machine()
+            state_machine = Machine()
             member = Member(
                 daemon=name,
                 store=FaultyStore(folder=self.folder / f"{name}{subfolder}"),
-                machine=machine,
+                state_machine=state_machine,
                 clock=time.monotonic,
                 timers=self.timers,
                 snapshot_entries=self.snapshot_entries,
             )
             member.open(initial=configuration)
-            node = self.nodes[name] = Node(member, machine)
+            node = self.nodes[name] = Node(member, state_machine)
             transport = FakeTransport(group=self, source=name)
             rng = random.Random(name)
             node.tasks = [
@@ -222,9 +222,9 @@
         """Waits until all members applied the same and returns it."""
         deadline = time.monotonic() + timeout_s
         while True:
-            states = [node.machine.applied for node in self.nodes.values()]
+            states = [node.state_machine.applied for node in self.nodes.values()]
             if all(state == states[0] for state in states):
-                return next(iter(self.nodes.values())).machine.commands
+                return next(iter(self.nodes.values())).state_machine.commands
             assert time.monotonic() < deadline, [state[-3:] for state in states]
             await asyncio.sleep(0.02)
 
--- a/tests/agreement/test_cancelled_writes.py
+++ b/tests/agreement/test_cancelled_writes.py
@@ -77,7 +77,7 @@
     member = Member(
         daemon="a",
         store=HeldStore(folder=tmp_path),
-        machine=Machine(),
+        state_machine=Machine(),
         clock=time.monotonic,
         timers=TIMERS,
         snapshot_entries=1,
--- a/tests/agreement/test_linearizability.py
+++ b/tests/agreement/test_linearizability.py
@@ -38,7 +38,7 @@
 def generation_at(node: Node) -> int:
     """Replays compare-and-set of the generation over what a member applied."""
     generation = 0
-    for command in node.machine.commands:
+    for command in node.state_machine.commands:
         generation += int(command) == generation
     return generation
 
@@ -54,7 +54,7 @@
             history.append(Operation(start=start, end=PENDING, expected=expected))
         return
     before = 0
-    for index, data in node.machine.applied:
+    for index, data in node.state_machine.applied:
         if index == result.ok.index:
             break
         before += bool(data) and int(data) == before
--- a/tests/agreement/test_slow_disk.py
+++ b/tests/agreement/test_slow_disk.py
@@ -48,7 +48,7 @@
         node.store.delay_s = 2 * TIMERS.stall_s
     for number in range(2):
         await leader.member.propose(data=b"%d" % number, timeout_s=6)
-    assert leader.machine.commands == [b"0", b"1"]
+    assert leader.state_machine.commands == [b"0", b"1"]
     assert leader.member.is_leader
 
 
