--- a/src/hyssopway/agreement/crash_points.py
+++ b/src/hyssopway/agreement/crash_points.py
@@ -10,7 +10,7 @@
 import signal
 import threading
 
-VARIABLE = "HYSSOPWAY_CRASH_POINT"
+CRASH_POINT_VARIABLE = "HYSSOPWAY_CRASH_POINT"
 
 CRASH_POINTS = (
     "received",
@@ -32,7 +32,9 @@
     def __init__(self, *, setting: str) -> None:
         name, _, count = setting.partition(":")
         if name and (name not in CRASH_POINTS or not count.isdigit()):
-            raise ValueError(f"{VARIABLE}={setting!r} is not one of {', '.join(CRASH_POINTS)} with a count")
+            raise ValueError(
+                f"{CRASH_POINT_VARIABLE}={setting!r} is not one of {', '.join(CRASH_POINTS)} with a count"
+            )
         self.name = name
         self.left = int(count or 0)
         # Points are reached on the event loop and in threads that write.
@@ -46,7 +48,7 @@
                 os.kill(os.getpid(), signal.SIGKILL)
 
 
-_COUNTDOWN = _Countdown(setting=os.environ.get(VARIABLE, ""))
+_COUNTDOWN = _Countdown(setting=os.environ.get(CRASH_POINT_VARIABLE, ""))
 
 
 def crash_point(name: str) -> None:
@@ -55,4 +57,4 @@
         _COUNTDOWN.reach()
 
 
-__all__ = ["CRASH_POINTS", "VARIABLE", "crash_point"]
+__all__ = ["CRASH_POINTS", "CRASH_POINT_VARIABLE", "crash_point"]
--- a/tests/whole/test_crash_points.py
+++ b/tests/whole/test_crash_points.py
@@ -10,7 +10,7 @@
 import aiohttp
 import pytest
 
-from hyssopway.agreement.crash_points import CRASH_POINTS, VARIABLE
+from hyssopway.agreement.crash_points import CRASH_POINT_VARIABLE, CRASH_POINTS
 from hyssopway_standins.fleet import EXAMPLES
 from hyssopway_standins.operator_client import OperatorClient
 from hyssopway_standins.processes import Deployment
@@ -53,9 +53,9 @@
     deployment.stop()
     for daemon in deployment.daemons.values():
         count = rng.randint(1, 2) if rare else rng.randint(10, 60)
-        monkeypatch.setenv(VARIABLE, f"{point}:{count}")
+        monkeypatch.setenv(CRASH_POINT_VARIABLE, f"{point}:{count}")
         daemon.start()
-    monkeypatch.delenv(VARIABLE)
+    monkeypatch.delenv(CRASH_POINT_VARIABLE)
     acknowledged: dict[str, int] = {}
     deadline = time.monotonic() + WRITE_S
 
