--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -134,7 +134,7 @@
             asyncio.create_task(keep_running(name, loop), name=name) for name, loop in loops.items()
         ]
 
-    async def hand_over(self) -> None:
+    async def resign_leadership(self) -> None:
         """Gives up the lead, if this node has it, and lets the others elect a leader at once."""
         member = self.member
         if not member.is_leader:
--- a/tests/node/test_control_nodes.py
+++ b/tests/node/test_control_nodes.py
@@ -134,7 +134,7 @@
 async def test_lead_is_handed_over_without_waiting_for_silence(group):
     """Guards against a planned stop that leaves everyone without a leader for an election timeout."""
     (old,) = leaders(group)
-    await old.hand_over()
+    await old.resign_leadership()
     others = [node for node in group if node is not old]
     await wait_until(lambda: bool(leaders(others)))
     await wait_until(lambda: old.conductor is None)
