--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -198,7 +198,7 @@
             case Result(error=failure):
                 return Error(failure)
 
-    def confirmed_at(self) -> float:
+    def quorum_acked_at(self) -> float:
         """Returns the local time up to which this leader surely knows everything committed.
 
         A quorum answered messages sent at or after that time in this term, so no other leader committed
@@ -225,10 +225,10 @@
         self.wake_replication()
         try:
             async with asyncio.timeout(timeout_s), self.confirmed:
-                await self.confirmed.wait_for(lambda: not self.is_leader or self.confirmed_at() >= start)
+                await self.confirmed.wait_for(lambda: not self.is_leader or self.quorum_acked_at() >= start)
         except TimeoutError:
             pass
-        if not self.is_leader or self.confirmed_at() < start:
+        if not self.is_leader or self.quorum_acked_at() < start:
             return Error(Failure(code=ResultCode.NO_QUORUM, message="no quorum confirms the leader"))
         return Ok(self.commit_index)
 
--- a/src/hyssopway/agreement/voting.py
+++ b/src/hyssopway/agreement/voting.py
@@ -51,7 +51,7 @@
 def _hears_leader(member: Member) -> bool:
     now, timers = member.clock(), member.timers
     if member.is_leader:
-        return now - member.confirmed_at() < timers.election_min_s
+        return now - member.quorum_acked_at() < timers.election_min_s
     if not member.leader_id:
         # The process before this one may have heard a leader that still acts.
         return now - member.started_at < timers.doubt_s
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -134,7 +134,7 @@
         self.contacts[daemon] = self.freshness.clock()
         if daemon in self.withheld:
             return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=inf)
-        age_s = member.clock() - member.confirmed_at()
+        age_s = member.clock() - member.quorum_acked_at()
         if isfinite(age_s):
             self.covered[daemon] = member.commit_index
         return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=age_s)
--- a/src/hyssopway/dispatch/leadership.py
+++ b/src/hyssopway/dispatch/leadership.py
@@ -50,7 +50,7 @@
 
     def may_order(self) -> bool:
         """Tells whether no other leader can have been elected yet."""
-        return self.holds and self.clock() - self.member.confirmed_at() <= CONFIRMED_WITHIN_S
+        return self.holds and self.clock() - self.member.quorum_acked_at() <= CONFIRMED_WITHIN_S
 
     async def confirm(self) -> None:
         """Makes sure that no other leader had been elected when this was called.
--- a/tests/node/test_control_nodes.py
+++ b/tests/node/test_control_nodes.py
@@ -106,7 +106,7 @@
     (old,) = leaders(group)
     old.service = StateService()
     assert (await old.answer(REQUEST)).status == 200
-    monkeypatch.setattr(old.member, "confirmed_at", lambda: float("-inf"))
+    monkeypatch.setattr(old.member, "quorum_acked_at", lambda: float("-inf"))
 
     async def confirm_nothing(*, timeout_s):
         return Error(Failure(code=ResultCode.NO_QUORUM, message="no quorum confirms the leader"))
@@ -159,4 +159,4 @@
     await wait_until(lambda: fresh.member.is_voter)
     assert fresh.member.member_id != old_id
     assert old_id not in leader.member.configuration.members
-    assert monotonic_s() - leader.member.confirmed_at() < 1.0
+    assert monotonic_s() - leader.member.quorum_acked_at() < 1.0
