--- a/src/hyssopway/agreement/__init__.py
+++ b/src/hyssopway/agreement/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .completion import run_to_completion
+from .cancellation import run_to_completion
 from .configuration import Configuration, daemon_of
 from .election import run_elections
 from .member import Member
--- a/src/hyssopway/agreement/stored_file.py
+++ b/src/hyssopway/agreement/atomic_file.py
@@ -16,7 +16,7 @@
 _DIGEST_BYTES = 16
 
 
-def write_whole(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Replaces a file atomically and durably, with a checksum in front.
 
     Raises:
@@ -35,7 +35,7 @@
         raise StorageError(f"cannot write {path}: {error}") from error
 
 
-def read_whole(path: Path) -> bytes | None:
+def read_checksummed(path: Path) -> bytes | None:
     """Reads a file written by `write_whole`; None when it does not exist.
 
     Raises:
@@ -54,4 +54,4 @@
     return data
 
 
-__all__ = ["read_whole", "write_whole"]
+__all__ = ["read_checksummed", "write_atomically"]
--- a/src/hyssopway/agreement/completion.py
+++ b/src/hyssopway/agreement/cancellation.py
@@ -20,7 +20,7 @@
     return await asyncio.shield(asyncio.ensure_future(work))
 
 
-async def outlast_cancellation(work: asyncio.Future[T]) -> T:
+async def defer_cancellation(work: asyncio.Future[T]) -> T:
     """Waits for work that cannot be stopped; a cancellation takes effect when the work has ended.
 
     Raises:
@@ -37,4 +37,4 @@
     return work.result()
 
 
-__all__ = ["outlast_cancellation", "run_to_completion"]
+__all__ = ["defer_cancellation", "run_to_completion"]
--- a/src/hyssopway/agreement/crash_points.py
+++ b/src/hyssopway/agreement/crash_points.py
@@ -27,7 +27,7 @@
 class _Countdown:
     """Arrivals left at the point that is enabled."""
 
-    __slots__ = ("left", "lock", "name")
+    __slots__ = ("lock", "name", "remaining")
 
     def __init__(self, *, setting: str) -> None:
         name, _, count = setting.partition(":")
@@ -36,15 +36,15 @@
                 f"{CRASH_POINT_VARIABLE}={setting!r} is not one of {', '.join(CRASH_POINTS)} with a count"
             )
         self.name = name
-        self.left = int(count or 0)
+        self.remaining = int(count or 0)
         # Points are reached on the event loop and in threads that write.
         self.lock = threading.Lock()
 
-    def reach(self) -> None:
+    def count_down(self) -> None:
         """Counts one arrival and ends the process at the last."""
         with self.lock:
-            self.left -= 1
-            if self.left <= 0:
+            self.remaining -= 1
+            if self.remaining <= 0:
                 os.kill(os.getpid(), signal.SIGKILL)
 
 
@@ -54,7 +54,7 @@
 def crash_point(name: str) -> None:
     """Ends the process here if the point is enabled and its count is reached."""
     if name == _COUNTDOWN.name:
-        _COUNTDOWN.reach()
+        _COUNTDOWN.count_down()
 
 
 __all__ = ["CRASH_POINTS", "CRASH_POINT_VARIABLE", "crash_point"]
--- a/src/hyssopway/agreement/election.py
+++ b/src/hyssopway/agreement/election.py
@@ -19,60 +19,60 @@
     from .transport import Transport
 
 
-MAX_DOUBLINGS = 3
+MAX_TIMEOUT_DOUBLINGS = 3
 # Keeps members that doubt a leader at the same moment from running at the same moment; longer than a vote on a slow
 # disk.
-RANK_STEP_S = 0.04
-EARLY_RETRY_S = 0.04
+EARLY_CAMPAIGN_STEP_S = 0.04
+EARLY_CAMPAIGN_RETRY_S = 0.04
 
 
 async def run_elections(*, member: Member, transport: Transport, rng: random.Random) -> None:
     """Starts an election after each silence, for as long as the member runs."""
-    lost = 0
+    lost_elections = 0
     # A member that has just started knows no leader.
     member.leader_suspicion.start()
     while member.role is not Role.STOPPED:
         # Growing timeouts let a group whose disks are slow elect a leader at all.
-        factor = 2 ** min(lost, MAX_DOUBLINGS)
+        factor = 2 ** min(lost_elections, MAX_TIMEOUT_DOUBLINGS)
         timeout_s = factor * rng.uniform(member.timers.election_min_s, member.timers.election_max_s)
-        is_doubted = await member.leader_suspicion.wait(
+        is_suspected = await member.leader_suspicion.wait(
             timeout_s=timeout_s if not member.is_leader else member.timers.heartbeat_s
         )
         if member.is_leader or member.leader_id:
-            lost = 0
-        if is_doubted:
-            lost += await _run_early(member=member, transport=transport)
+            lost_elections = 0
+        if is_suspected:
+            lost_elections += await _campaign_early(member=member, transport=transport)
         elif member.is_leader:
             _check_quorum(member)
             _check_own_disk(member)
         elif _may_campaign(member, silence_s=timeout_s):
             # A failed pre-vote costs no disk write, so it does not slow down the next try: after a long
             # isolation the group elects a leader within the shortest timeouts.
-            lost += await _campaign(member=member, transport=transport)
+            lost_elections += await _campaign(member=member, transport=transport)
 
 
-async def _run_early(*, member: Member, transport: Transport) -> bool:
+async def _campaign_early(*, member: Member, transport: Transport) -> bool:
     """Runs for election until a leader is heard or the doubt is old; tells whether a real election was lost."""
     has_lost = False
-    until = member.clock() + member.timers.election_max_s
-    while member.clock() < until and _may_run_early(member):
+    deadline = member.clock() + member.timers.election_max_s
+    while member.clock() < deadline and _may_campaign_early(member):
         silence_s = member.clock() - member.heard_at
         rank = sorted(member.configuration.voters).index(member.member_id)
-        await asyncio.sleep(max(0.0, member.timers.doubt_s - silence_s) + rank * RANK_STEP_S)
-        if _may_run_early(member):
+        await asyncio.sleep(max(0.0, member.timers.doubt_s - silence_s) + rank * EARLY_CAMPAIGN_STEP_S)
+        if _may_campaign_early(member):
             has_lost |= await _campaign(member=member, transport=transport)
-        await asyncio.sleep(EARLY_RETRY_S)
+        await asyncio.sleep(EARLY_CAMPAIGN_RETRY_S)
     return has_lost
 
 
-def _may_run_early(member: Member) -> bool:
-    is_doubted = member.leader_suspicion.is_active(heard_at=member.heard_at)
-    return is_doubted and not member.is_leader and _may_campaign(member, silence_s=float("-inf"))
+def _may_campaign_early(member: Member) -> bool:
+    is_suspected = member.leader_suspicion.is_active(heard_at=member.heard_at)
+    return is_suspected and not member.is_leader and _may_campaign(member, silence_s=float("-inf"))
 
 
 def _may_campaign(member: Member, *, silence_s: float) -> bool:
     now = member.clock()
-    return member.is_voter and now - member.heard_at >= silence_s and now >= member.suspended_until
+    return member.is_voter and now - member.heard_at >= silence_s and now >= member.candidacy_suspended_until
 
 
 def _check_own_disk(member: Member) -> None:
@@ -89,19 +89,21 @@
     quorum = member.configuration.quorum
     # Stepping down helps only if the others are a quorum without this member.
     if len(others) < quorum or others[quorum - 1] <= member.store.synced_index:
-        member.held_up_since = float("inf")
+        member.disk_lagging_since = float("inf")
         return
-    member.held_up_since = min(member.held_up_since, member.clock())
-    if member.clock() - member.held_up_since >= member.timers.stall_s:
+    member.disk_lagging_since = min(member.disk_lagging_since, member.clock())
+    if member.clock() - member.disk_lagging_since >= member.timers.stall_s:
         log_event(Event.DISK_STALLED, synced_index=member.store.synced_index, index=others[quorum - 1])
-        member.suspend()
+        member.suspend_candidacy()
         member.step_down(reason="own disk is slower than a quorum of the others")
 
 
 def _check_quorum(member: Member) -> None:
     voters = member.configuration.voters
-    recent = member.clock() - member.timers.election_max_s
-    reachable = sum(voter == member.member_id or member.progress[voter].acked_at > recent for voter in voters)
+    oldest_valid_ack = member.clock() - member.timers.election_max_s
+    reachable = sum(
+        voter == member.member_id or member.progress[voter].acked_at > oldest_valid_ack for voter in voters
+    )
     if reachable >= member.configuration.quorum:
         return
     if member.clock() - member.heard_at < member.timers.election_max_s:
@@ -119,7 +121,7 @@
     if not await _collect_votes(member=member, transport=transport, term=term, pre_vote=True):
         return False
     async with member.lock:
-        if member.role is not Role.CANDIDATE or member.clock() < member.suspended_until:
+        if member.role is not Role.CANDIDATE or member.clock() < member.candidacy_suspended_until:
             return False
         if member.term != term - 1:
             return False  # another election began since the pre-vote
@@ -127,9 +129,9 @@
         try:
             await member.run_write(member.store.write_vote, term=term, voted_for=member.member_id)
             # Pre-votes of others wait for the outcome of this election.
-            member.granted_at = member.clock()
+            member.vote_granted_at = member.clock()
         except StorageError as error:
-            member.fail_storage(error)
+            member.handle_storage_error(error)
             return False
     log_event(Event.ELECTION_STARTED, term=term)
     won = await _collect_votes(member=member, transport=transport, term=term, pre_vote=False)
@@ -144,7 +146,7 @@
     last_index = member.store.last_index
     last_term = member.store.term_at(last_index) or 0
     others = [voter for voter in member.configuration.voters if voter != member.member_id]
-    missing = member.configuration.quorum - 1
+    votes_needed = member.configuration.quorum - 1
     calls = {
         asyncio.create_task(
             transport.vote(
@@ -164,15 +166,15 @@
         for voter in others
     }
     try:
-        return await _count_votes(member=member, calls=calls, missing=missing)
+        return await _count_votes(member=member, calls=calls, votes_needed=votes_needed)
     finally:
         for call in calls:
             call.cancel()
 
 
-async def _count_votes(*, member: Member, calls: set[asyncio.Task[VoteReply]], missing: int) -> bool:
+async def _count_votes(*, member: Member, calls: set[asyncio.Task[VoteReply]], votes_needed: int) -> bool:
     calls = set(calls)
-    while missing > 0 and calls:
+    while votes_needed > 0 and calls:
         done, calls = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
         for call in done:
             if call.cancelled() or call.exception() is not None:
@@ -182,8 +184,8 @@
                 async with member.lock:
                     await member.adopt_term(reply.term)
                 return False
-            missing -= reply.granted
-    return missing <= 0
+            votes_needed -= reply.granted
+    return votes_needed <= 0
 
 
 __all__ = ["run_elections"]
--- a/src/hyssopway/agreement/log_file.py
+++ b/src/hyssopway/agreement/log_file.py
@@ -65,7 +65,7 @@
         if position < len(self.offsets):
             self.end = self.offsets[position]
             del self.offsets[position:]
-        self._drop_tail()
+        self._truncate_tail()
         starts, chunks, offset = [], [], self.end
         for step, entry in enumerate(entries):
             record = encode_record(index=index + step, entry=entry)
@@ -89,21 +89,21 @@
         Raises:
             StorageError: The disk is full, read-only or failing.
         """
-        fresh = LogFile(path=self.path.with_suffix(".new"))
+        replacement = LogFile(path=self.path.with_suffix(".new"))
         try:
-            fresh.path.unlink(missing_ok=True)
-            fresh.open(first_index=first_index)
-            fresh.append(index=first_index, entries=entries)
-            fresh.path.replace(self.path)
+            replacement.path.unlink(missing_ok=True)
+            replacement.open(first_index=first_index)
+            replacement.append(index=first_index, entries=entries)
+            replacement.path.replace(self.path)
         except (OSError, StorageError) as error:
-            fresh.close()
+            replacement.close()
             raise StorageError(f"cannot replace {self.path}: {error}") from error
         crash_point("log-replaced")
         # From the rename on the old file has no name; entries written to it would be lost.
         os.close(self.descriptor)
-        self.descriptor = fresh.descriptor
-        self.first_index, self.offsets, self.end = first_index, fresh.offsets, fresh.end
-        self.syncs += fresh.syncs
+        self.descriptor = replacement.descriptor
+        self.first_index, self.offsets, self.end = first_index, replacement.offsets, replacement.end
+        self.syncs += replacement.syncs
         try:
             sync_folder(self.path.parent)
         except OSError as error:
@@ -115,7 +115,7 @@
             os.close(self.descriptor)
             self.descriptor = -1
 
-    def _drop_tail(self) -> None:
+    def _truncate_tail(self) -> None:
         """Cuts off what stands behind the intact part.
 
         Records left there would look like damage in the middle after a crash in the next write.
@@ -141,7 +141,7 @@
                 self.offsets.append(offset)
                 entries.append(entry)
             offset = end
-        self._cut_torn_tail(data=data, end=offset)
+        self._truncate_torn_tail(data=data, end=offset)
         self.end = offset
         if not entries:
             # A crash between writing a snapshot and rewriting the log leaves only entries that it covers.
@@ -149,7 +149,7 @@
             self.end = 0
         return entries
 
-    def _cut_torn_tail(self, *, data: bytes, end: int) -> None:
+    def _truncate_torn_tail(self, *, data: bytes, end: int) -> None:
         if end == len(data):
             return
         later = find_later_record(data, start=end)
--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -18,7 +18,7 @@
 from hyssopway.event import Event, log_event
 from hyssopway.result import Failure, ResultCode, WorkState
 
-from .completion import outlast_cancellation, run_to_completion
+from .cancellation import defer_cancellation, run_to_completion
 from .configuration import Configuration, daemon_of
 from .crash_points import crash_point
 from .entry import Entry, EntryKind
@@ -95,20 +95,20 @@
         self.applied_index = 0
         self.started_at = clock() if started_at is None else started_at
         self.heard_at = self.started_at
-        self.granted_at = float("-inf")
+        self.vote_granted_at = float("-inf")
         self.leader_suspicion = LeaderSuspicion(clock=clock)
         self.configuration = Configuration()
         self.progress: dict[str, Progress] = {}
         self.progress_changed = asyncio.Event()
-        self.waiting: dict[int, tuple[int, asyncio.Future[Outcome | None]]] = {}
+        self.pending_proposals: dict[int, tuple[int, asyncio.Future[Outcome | None]]] = {}
         self.term_start_index = 0
-        self.suspended_until = float("-inf")
-        self.held_up_since = float("inf")
+        self.candidacy_suspended_until = float("-inf")
+        self.disk_lagging_since = float("inf")
         self.lock = asyncio.Lock()
         self.writer = ThreadPoolExecutor(max_workers=1, thread_name_prefix="store")
-        self.unsynced = asyncio.Event()
-        self.committed = asyncio.Event()
-        self.confirmed = asyncio.Condition()
+        self.sync_needed = asyncio.Event()
+        self.commit_advanced = asyncio.Event()
+        self.ack_received = asyncio.Condition()
 
     @property
     def member_id(self) -> str:
@@ -163,13 +163,13 @@
         if entry.kind is EntryKind.CONFIGURATION:
             self.adopt_configuration()
         future: asyncio.Future[Outcome | None] = asyncio.get_running_loop().create_future()
-        self.waiting[index] = (entry.term, future)
-        self.unsynced.set()
+        self.pending_proposals[index] = (entry.term, future)
+        self.sync_needed.set()
         self.wake_replication()
         try:
             await asyncio.wait({future}, timeout=timeout_s)
         finally:
-            self.waiting.pop(index, None)
+            self.pending_proposals.pop(index, None)
         outcome = future.result() if future.done() else None
         if outcome is None:
             message = "the change was not confirmed by a quorum in time; it may still take effect"
@@ -224,8 +224,10 @@
         start = self.clock()
         self.wake_replication()
         try:
-            async with asyncio.timeout(timeout_s), self.confirmed:
-                await self.confirmed.wait_for(lambda: not self.is_leader or self.quorum_acked_at() >= start)
+            async with asyncio.timeout(timeout_s), self.ack_received:
+                await self.ack_received.wait_for(
+                    lambda: not self.is_leader or self.quorum_acked_at() >= start
+                )
         except TimeoutError:
             pass
         if not self.is_leader or self.quorum_acked_at() < start:
@@ -244,7 +246,7 @@
         the lock must keep others from the files and from the state that the call reads.
         """
         loop = asyncio.get_running_loop()
-        return await outlast_cancellation(loop.run_in_executor(self.writer, partial(call, **arguments)))
+        return await defer_cancellation(loop.run_in_executor(self.writer, partial(call, **arguments)))
 
     def check_running(self) -> None:
         """Refuses calls of others once the member has stopped; the caller holds the lock.
@@ -284,13 +286,13 @@
             self.leader_id = ""
         self.role = Role.FOLLOWER
         self.progress = {}
-        for _, future in self.waiting.values():
+        for _, future in self.pending_proposals.values():
             if not future.done():
                 future.set_result(None)
 
     def become_leader(self) -> None:
         """Starts leading the current term."""
-        self.held_up_since = float("inf")
+        self.disk_lagging_since = float("inf")
         self.role = Role.LEADER
         self.leader_id = self.member_id
         self.progress = {
@@ -301,7 +303,7 @@
         self.progress_changed.set()
         self.store.entries.append(Entry(term=self.term, kind=EntryKind.NO_OPERATION))
         self.term_start_index = self.store.last_index
-        self.unsynced.set()
+        self.sync_needed.set()
         log_event(Event.LEADER_ELECTED, term=self.term)
 
     def adopt_configuration(self) -> None:
@@ -332,15 +334,15 @@
         index = min(matches[self.configuration.quorum - 1], self.store.synced_index)
         if index > self.commit_index and self.store.term_at(index) == self.term:
             self.commit_index = index
-            self.committed.set()
+            self.commit_advanced.set()
             # Followers learn of the commit now and not with the next heartbeat.
             self.wake_replication()
 
     async def sync_own_log(self) -> None:
         """Writes appended entries, many with one sync, for as long as the member runs."""
         while self.role is not Role.STOPPED:
-            await self.unsynced.wait()
-            self.unsynced.clear()
+            await self.sync_needed.wait()
+            self.sync_needed.clear()
             async with self.lock:
                 if not self.is_leader:
                     continue
@@ -351,7 +353,7 @@
                 try:
                     await self.run_write(self.store.write_entries, index=start, entries=batch)
                 except StorageError as error:
-                    self.fail_storage(error)
+                    self.handle_storage_error(error)
                     continue
             if self.is_leader:
                 self.advance_commit()
@@ -359,25 +361,25 @@
     async def apply_committed(self) -> None:
         """Applies committed entries for as long as the member runs."""
         while self.role is not Role.STOPPED:
-            await self.committed.wait()
-            self.committed.clear()
+            await self.commit_advanced.wait()
+            self.commit_advanced.clear()
             while self.applied_index < self.commit_index:
                 for _ in range(min(APPLY_BATCH, self.commit_index - self.applied_index)):
                     self._apply_next()
                 await asyncio.sleep(0)
             await self._compact()
 
-    def suspend(self) -> None:
+    def suspend_candidacy(self) -> None:
         """Leaves elections to members with a working disk for a while.
 
         A vote fits on a full disk, so a member that could not write its log would win again at once.
         """
-        self.suspended_until = self.clock() + self.timers.suspend_s
+        self.candidacy_suspended_until = self.clock() + self.timers.suspend_s
 
-    def fail_storage(self, error: StorageError) -> None:
+    def handle_storage_error(self, error: StorageError) -> None:
         """Gives up the lead when the disk fails; unsynced entries are forgotten."""
         log_event(Event.STORAGE_FAILED, error=str(error))
-        self.suspend()
+        self.suspend_candidacy()
         self.step_down(reason="storage failed")
         self.drop_unsynced()
 
@@ -394,7 +396,7 @@
         self.applied_index = index
         if entry.kind is EntryKind.COMMAND:
             crash_point("applied")
-        term, future = self.waiting.get(index, (0, None))
+        term, future = self.pending_proposals.get(index, (0, None))
         if future is not None and not future.done():
             future.set_result(outcome if term == entry.term else None)
         if entry.kind is EntryKind.CONFIGURATION and self.is_leader and not self.is_voter:
@@ -418,7 +420,7 @@
             try:
                 await self.run_write(self.store.write_snapshot, snapshot=snapshot)
             except StorageError as error:
-                self.fail_storage(error)
+                self.handle_storage_error(error)
                 return
             self.store.adopt_snapshot(snapshot)
         log_event(Event.SNAPSHOT_WRITTEN, index=snapshot.index, size_bytes=len(snapshot.data))
--- a/src/hyssopway/agreement/membership.py
+++ b/src/hyssopway/agreement/membership.py
@@ -78,9 +78,9 @@
 def _add(old: Configuration, *, member_id: str) -> Result[Configuration, Failure]:
     if member_id in old.learners:
         return Ok(old)
-    present = [other for other in old.members if daemon_of(other) == daemon_of(member_id)]
-    if present:
-        message = f"{present[0]} is a member already; remove it first if its disk is lost"
+    same_daemon = [other for other in old.members if daemon_of(other) == daemon_of(member_id)]
+    if same_daemon:
+        message = f"{same_daemon[0]} is a member already; remove it first if its disk is lost"
         return _refuse(ResultCode.MEMBER_EXISTS, message)
     return Ok(Configuration(voters=old.voters, learners=(*old.learners, member_id)))
 
@@ -111,9 +111,10 @@
     )
     if not new.voters:
         return _refuse(ResultCode.LAST_VOTER, f"{member_id} is the last voter")
-    recent = member.clock() - member.timers.election_max_s
+    oldest_valid_ack = member.clock() - member.timers.election_max_s
     reachable = sum(
-        voter == member.member_id or member.progress[voter].acked_at > recent for voter in new.voters
+        voter == member.member_id or member.progress[voter].acked_at > oldest_valid_ack
+        for voter in new.voters
     )
     if reachable < new.quorum:
         # The change could never be committed, and the group would stop.
--- a/src/hyssopway/agreement/replication.py
+++ b/src/hyssopway/agreement/replication.py
@@ -25,7 +25,7 @@
 SNAPSHOT_CHUNK_BYTES = 1024 * 1024
 # The replication of an idle log sends a moment later than each heartbeat interval; with 1.0 every second message
 # was sent twice.
-KEEP_ALIVE_FACTOR = 1.5
+HEARTBEAT_DELAY_FACTOR = 1.5
 
 
 async def run_replication(*, member: Member, transport: Transport) -> None:
@@ -38,8 +38,8 @@
                     del tasks[key]
             for progress in member.progress.values():
                 if id(progress) not in tasks:
-                    job = _serve(member=member, transport=transport, progress=progress)
-                    task = tasks[id(progress)] = asyncio.create_task(job)
+                    work = _replicate_to(member=member, transport=transport, progress=progress)
+                    task = tasks[id(progress)] = asyncio.create_task(work)
                     task.add_done_callback(lambda _: member.progress_changed.set())
             await member.progress_changed.wait()
             member.progress_changed.clear()
@@ -51,10 +51,10 @@
             task.cancel()
 
 
-async def _serve(*, member: Member, transport: Transport, progress: Progress) -> None:
+async def _replicate_to(*, member: Member, transport: Transport, progress: Progress) -> None:
     async with asyncio.TaskGroup() as group:
-        group.create_task(_replicate(member=member, transport=transport, progress=progress))
-        group.create_task(_keep_alive(member=member, transport=transport, progress=progress))
+        group.create_task(_send_log(member=member, transport=transport, progress=progress))
+        group.create_task(_send_heartbeats(member=member, transport=transport, progress=progress))
 
 
 async def answer_append(*, member: Member, request: AppendRequest) -> AppendReply:
@@ -62,7 +62,7 @@
     if request.target != member.member_id:
         # Meant for a member whose disk was lost; this one has other state.
         return _reply(member, success=False, match_index=0)
-    if not request.entries and member.lock.locked() and _is_followed(member, request):
+    if not request.entries and member.lock.locked() and _is_from_current_leader(member, request):
         # A heartbeat does not wait for a write in progress; it says nothing about the log.
         member.heard_at = member.clock()
         return _reply(member, success=True, match_index=0)
@@ -71,14 +71,14 @@
         if request.term < member.term:
             return _reply(member, success=False, match_index=member.store.last_index)
         try:
-            await _follow(member, term=request.term, leader=request.leader)
-            return await _append(member=member, request=request)
+            await _follow_leader(member, term=request.term, leader=request.leader)
+            return await _append_entries(member=member, request=request)
         except StorageError as error:
-            member.fail_storage(error)
+            member.handle_storage_error(error)
             return _reply(member, success=False, match_index=member.store.synced_index)
 
 
-def _is_followed(member: Member, request: AppendRequest) -> bool:
+def _is_from_current_leader(member: Member, request: AppendRequest) -> bool:
     return member.role is Role.FOLLOWER and request.term == member.term and request.leader == member.leader_id
 
 
@@ -91,20 +91,20 @@
         if chunk.term < member.term:
             return _reply(member, success=False, match_index=0)
         try:
-            await _follow(member, term=chunk.term, leader=chunk.leader)
+            await _follow_leader(member, term=chunk.term, leader=chunk.leader)
             if not assembler.add(chunk):
                 return _reply(member, success=False, match_index=0)
             if chunk.last and chunk.index > member.commit_index:
-                await _install(member=member, chunk=chunk, data=bytes(assembler.data))
+                await _install_snapshot(member=member, chunk=chunk, data=bytes(assembler.data))
         except StorageError as error:
-            member.fail_storage(error)
+            member.handle_storage_error(error)
             return _reply(member, success=False, match_index=0)
     return _reply(member, success=True, match_index=chunk.index if chunk.last else 0)
 
 
-async def _replicate(*, member: Member, transport: Transport, progress: Progress) -> None:
+async def _send_log(*, member: Member, transport: Transport, progress: Progress) -> None:
     term = member.term
-    while _leads(member, term=term, progress=progress):
+    while _still_leads(member, term=term, progress=progress):
         progress.wake.clear()
         try:
             if progress.next_index <= member.store.snapshot.index:
@@ -115,19 +115,19 @@
             await asyncio.sleep(member.timers.heartbeat_s)
             continue
         if progress.next_index > member.store.last_index:
-            await _wait(progress.wake, timeout_s=member.timers.heartbeat_s)
+            await _wait_for_event(progress.wake, timeout_s=member.timers.heartbeat_s)
 
 
-def _leads(member: Member, *, term: int, progress: Progress) -> bool:
+def _still_leads(member: Member, *, term: int, progress: Progress) -> bool:
     return member.is_leader and member.term == term and member.progress.get(progress.member_id) is progress
 
 
-async def _keep_alive(*, member: Member, transport: Transport, progress: Progress) -> None:
+async def _send_heartbeats(*, member: Member, transport: Transport, progress: Progress) -> None:
     """Sends heartbeats while entries or a snapshot are on their way to a member with a slow disk."""
     term = member.term
-    while _leads(member, term=term, progress=progress):
+    while _still_leads(member, term=term, progress=progress):
         sent_at = member.clock()
-        if sent_at - progress.sent_at >= member.timers.heartbeat_s * KEEP_ALIVE_FACTOR:
+        if sent_at - progress.sent_at >= member.timers.heartbeat_s * HEARTBEAT_DELAY_FACTOR:
             try:
                 reply = await _send_heartbeat(member=member, transport=transport, progress=progress)
             except OSError:
@@ -136,7 +136,7 @@
                 async with member.lock:
                     await member.adopt_term(reply.term)
             elif reply is not None and reply.member == progress.member_id:
-                await _confirm(member=member, progress=progress, sent_at=sent_at)
+                await _record_ack(member=member, progress=progress, sent_at=sent_at)
         await asyncio.sleep(member.timers.heartbeat_s)
 
 
@@ -154,32 +154,32 @@
 
 
 async def _send_entries(*, member: Member, transport: Transport, progress: Progress) -> None:
-    previous = progress.next_index - 1
+    previous_index = progress.next_index - 1
     request = AppendRequest(
         term=member.term,
         leader=member.member_id,
         target=progress.member_id,
-        previous_index=previous,
-        previous_term=member.store.term_at(previous) or 0,
+        previous_index=previous_index,
+        previous_term=member.store.term_at(previous_index) or 0,
         commit_index=member.commit_index,
-        entries=member.store.slice(start=progress.next_index, max_bytes=MAX_BATCH_BYTES),
+        entries=member.store.read_batch(start=progress.next_index, max_bytes=MAX_BATCH_BYTES),
     )
     sent_at = progress.sent_at = member.clock()
     reply = await transport.append(
         daemon=daemon_of(progress.member_id), request=request, timeout_s=member.timers.call_s
     )
-    await _take_reply(
+    await _handle_reply(
         member=member,
         progress=progress,
         reply=reply,
         sent_at=sent_at,
-        previous=previous,
+        previous_index=previous_index,
         count=len(request.entries),
     )
 
 
-async def _take_reply(
-    *, member: Member, progress: Progress, reply: AppendReply, sent_at: float, previous: int, count: int
+async def _handle_reply(
+    *, member: Member, progress: Progress, reply: AppendReply, sent_at: float, previous_index: int, count: int
 ) -> None:
     if reply.term > member.term:
         async with member.lock:
@@ -189,23 +189,23 @@
         if reply.member != progress.member_id:
             await asyncio.sleep(member.timers.heartbeat_s)
         return
-    if reply.success and reply.match_index >= previous + count:
+    if reply.success and reply.match_index >= previous_index + count:
         progress.match_index = max(progress.match_index, reply.match_index)
         progress.next_index = progress.match_index + 1
         member.advance_commit()
-    elif not reply.success and reply.match_index >= previous:
+    elif not reply.success and reply.match_index >= previous_index:
         # The log matches and the member cannot write: its disk gets time to recover.
         progress.next_index = max(1, reply.match_index + 1)
         await asyncio.sleep(member.timers.heartbeat_s)
     elif not reply.success:
         progress.next_index = max(1, min(progress.next_index - 1, reply.match_index + 1))
-    await _confirm(member=member, progress=progress, sent_at=sent_at)
+    await _record_ack(member=member, progress=progress, sent_at=sent_at)
 
 
-async def _confirm(*, member: Member, progress: Progress, sent_at: float) -> None:
+async def _record_ack(*, member: Member, progress: Progress, sent_at: float) -> None:
     progress.acked_at = max(progress.acked_at, sent_at)
-    async with member.confirmed:
-        member.confirmed.notify_all()
+    async with member.ack_received:
+        member.ack_received.notify_all()
 
 
 async def _send_snapshot(*, member: Member, transport: Transport, progress: Progress, term: int) -> None:
@@ -213,7 +213,7 @@
     daemon = daemon_of(progress.member_id)
     for offset in range(0, max(1, len(snapshot.data)), SNAPSHOT_CHUNK_BYTES):
         part = snapshot.data[offset : offset + SNAPSHOT_CHUNK_BYTES]
-        if not _leads(member, term=term, progress=progress):
+        if not _still_leads(member, term=term, progress=progress):
             return  # the current term may belong to another leader
         chunk = SnapshotChunk(
             term=term,
@@ -231,12 +231,17 @@
         reply = await transport.install_snapshot(daemon=daemon, chunk=chunk, timeout_s=timeout_s)
         if not reply.success or reply.term > member.term:
             break
-    await _take_reply(
-        member=member, progress=progress, reply=reply, sent_at=sent_at, previous=-1, count=snapshot.index + 1
+    await _handle_reply(
+        member=member,
+        progress=progress,
+        reply=reply,
+        sent_at=sent_at,
+        previous_index=-1,
+        count=snapshot.index + 1,
     )
 
 
-async def _follow(member: Member, *, term: int, leader: str) -> None:
+async def _follow_leader(member: Member, *, term: int, leader: str) -> None:
     await member.adopt_term(term)
     if member.role is not Role.FOLLOWER:
         member.step_down(reason=f"{leader} leads term {term}")
@@ -245,33 +250,33 @@
     member.heard_at = member.clock()
 
 
-async def _append(*, member: Member, request: AppendRequest) -> AppendReply:
+async def _append_entries(*, member: Member, request: AppendRequest) -> AppendReply:
     store = member.store
-    behind = store.snapshot.index - request.previous_index
-    if behind > 0:
+    covered_count = store.snapshot.index - request.previous_index
+    if covered_count > 0:
         # The snapshot holds only committed entries, so they match. Refusing them would make a leader with an
         # older snapshot send it forever.
         request = replace(
             request,
             previous_index=store.snapshot.index,
             previous_term=store.snapshot.term,
-            entries=request.entries[behind:],
+            entries=request.entries[covered_count:],
         )
     if store.term_at(request.previous_index) != request.previous_term:
         hint = min(store.last_index, max(member.commit_index, request.previous_index - 1))
         return _reply(member, success=False, match_index=hint)
     start = request.previous_index + 1
-    fresh = list(request.entries)
-    while fresh and store.term_at(start) == fresh[0].term:
-        fresh.pop(0)
+    new_entries = list(request.entries)
+    while new_entries and store.term_at(start) == new_entries[0].term:
+        new_entries.pop(0)
         start += 1
-    if fresh:
+    if new_entries:
         crash_point("received")
         del store.entries[start - store.snapshot.index - 1 :]
         store.synced_index = min(store.synced_index, start - 1)
-        store.entries += fresh
+        store.entries += new_entries
         try:
-            await member.run_write(store.write_entries, index=start, entries=fresh)
+            await member.run_write(store.write_entries, index=start, entries=new_entries)
         except StorageError:
             del store.entries[start - store.snapshot.index - 1 :]
             raise
@@ -280,11 +285,11 @@
     matched = request.previous_index + len(request.entries)
     if min(request.commit_index, matched) > member.commit_index:
         member.commit_index = min(request.commit_index, matched)
-        member.committed.set()
+        member.commit_advanced.set()
     return _reply(member, success=True, match_index=matched)
 
 
-async def _install(*, member: Member, chunk: SnapshotChunk, data: bytes) -> None:
+async def _install_snapshot(*, member: Member, chunk: SnapshotChunk, data: bytes) -> None:
     snapshot = Snapshot(
         index=chunk.index, term=chunk.index_term, configuration=chunk.configuration, data=data
     )
@@ -300,7 +305,7 @@
     return AppendReply(term=member.term, success=success, match_index=match_index, member=member.member_id)
 
 
-async def _wait(event: asyncio.Event, *, timeout_s: float) -> None:
+async def _wait_for_event(event: asyncio.Event, *, timeout_s: float) -> None:
     # In Python 3.11 `asyncio.wait_for` would make a task for each wait.
     try:
         async with asyncio.timeout(timeout_s):
--- a/src/hyssopway/agreement/slot_file.py
+++ b/src/hyssopway/agreement/slot_file.py
@@ -57,7 +57,7 @@
                 return None
         except OSError as error:
             raise StorageError(f"cannot open {self.path}: {error}") from error
-        return self._newest(raw)
+        return self._read_newest(raw)
 
     def write(self, data: bytes) -> None:
         """Writes and syncs one slot, then the other.
@@ -89,7 +89,7 @@
         os.pwrite(self.descriptor, bytes(SLOT_BYTES * SLOTS), 0)
         os.fsync(self.descriptor)
 
-    def _newest(self, raw: bytes) -> bytes | None:
+    def _read_newest(self, raw: bytes) -> bytes | None:
         newest: bytes | None = None
         for slot in range(SLOTS):
             content = raw[SLOT_BYTES * slot : SLOT_BYTES * (slot + 1)].ljust(SLOT_BYTES, b"\0")
--- a/src/hyssopway/agreement/store.py
+++ b/src/hyssopway/agreement/store.py
@@ -5,6 +5,7 @@
 import secrets
 from typing import TYPE_CHECKING
 
+from .atomic_file import read_checksummed, write_atomically
 from .configuration import Configuration, daemon_of
 from .crash_points import crash_point
 from .entry import Entry, EntryKind
@@ -12,7 +13,6 @@
 from .slot_file import SlotFile
 from .snapshot import Snapshot
 from .storage_error import LogDamagedError, StorageError
-from .stored_file import read_whole, write_whole
 from .vote import Vote
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
             self._initialise(daemon=daemon, initial=initial)
         else:
             self.vote = Vote.decode(raw_vote)
-        raw_snapshot = read_whole(self.folder / "snapshot")
+        raw_snapshot = read_checksummed(self.folder / "snapshot")
         if raw_snapshot is not None:
             self.snapshot = Snapshot.decode(raw_snapshot)
         self.entries = self.log_file.open(first_index=self.snapshot.index + 1)
@@ -107,7 +107,7 @@
             return self.entries[position].term
         return None
 
-    def slice(self, *, start: int, max_bytes: int) -> tuple[Entry, ...]:
+    def read_batch(self, *, start: int, max_bytes: int) -> tuple[Entry, ...]:
         """Returns entries from `start` on, at least one and then up to `max_bytes`."""
         found: list[Entry] = []
         size = 0
@@ -155,15 +155,15 @@
 
     def write_snapshot(self, snapshot: Snapshot) -> None:
         """Makes a snapshot durable; `adopt_snapshot` must follow on the event loop."""
-        write_whole(self.folder / "snapshot", snapshot.encode())
+        write_atomically(self.folder / "snapshot", snapshot.encode())
         crash_point("snapshot-written")
-        kept = self._kept_entries(snapshot)
+        kept = self._entries_after(snapshot)
         durable = kept[: max(0, self.synced_index - snapshot.index)]
         self.log_file.rewrite(first_index=snapshot.index + 1, entries=durable)
 
     def adopt_snapshot(self, snapshot: Snapshot) -> None:
         """Drops the entries that a durable snapshot covers from memory."""
-        kept = self._kept_entries(snapshot)
+        kept = self._entries_after(snapshot)
         self.snapshot = snapshot
         self.entries = kept
         self.synced_index = max(snapshot.index, min(self.synced_index, self.last_index))
@@ -173,7 +173,7 @@
         self.log_file.close()
         self.vote_file.close()
 
-    def _kept_entries(self, snapshot: Snapshot) -> list[Entry]:
+    def _entries_after(self, snapshot: Snapshot) -> list[Entry]:
         if self.term_at(snapshot.index) != snapshot.term:
             return []
         return self.entries[snapshot.index - self.snapshot.index :]
--- a/src/hyssopway/agreement/voting.py
+++ b/src/hyssopway/agreement/voting.py
@@ -19,18 +19,18 @@
         return VoteReply(term=member.term, granted=False)
     async with member.lock:
         member.check_running()
-        if _hears_leader(member):
+        if _has_live_leader(member):
             # A member that was cut off must not disturb a group whose leader works.
             return VoteReply(term=member.term, granted=False)
         if request.pre_vote:
             # The candidate that has the vote may lead already, and its first message be on its way.
-            is_taken = member.clock() - member.granted_at < member.timers.doubt_s
-            granted = not is_taken and request.term > member.term and _is_up_to_date(member, request)
+            has_recent_vote = member.clock() - member.vote_granted_at < member.timers.doubt_s
+            granted = not has_recent_vote and request.term > member.term and _is_up_to_date(member, request)
             return VoteReply(term=member.term, granted=granted)
         try:
             return await _answer_real_vote(member=member, request=request)
         except StorageError as error:
-            member.fail_storage(error)
+            member.handle_storage_error(error)
             return VoteReply(term=member.term, granted=False)
 
 
@@ -44,19 +44,19 @@
     )
     if granted:
         await member.run_write(member.store.write_vote, term=member.term, voted_for=request.candidate)
-        member.heard_at = member.granted_at = member.clock()
+        member.heard_at = member.vote_granted_at = member.clock()
     return VoteReply(term=member.term, granted=granted)
 
 
-def _hears_leader(member: Member) -> bool:
+def _has_live_leader(member: Member) -> bool:
     now, timers = member.clock(), member.timers
     if member.is_leader:
         return now - member.quorum_acked_at() < timers.election_min_s
     if not member.leader_id:
         # The process before this one may have heard a leader that still acts.
         return now - member.started_at < timers.doubt_s
-    is_doubted = member.leader_suspicion.is_active(heard_at=member.heard_at)
-    return now - member.heard_at < (timers.doubt_s if is_doubted else timers.election_min_s)
+    is_suspected = member.leader_suspicion.is_active(heard_at=member.heard_at)
+    return now - member.heard_at < (timers.doubt_s if is_suspected else timers.election_min_s)
 
 
 def _is_up_to_date(member: Member, request: VoteRequest) -> bool:
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -139,7 +139,7 @@
         member = self.member
         if not member.is_leader:
             return
-        member.suspend()
+        member.suspend_candidacy()
         member.step_down(reason="the node stops")
         others = [daemon_of(voter) for voter in member.configuration.voters if voter != member.member_id]
         await asyncio.gather(*(self._tell_stopping(other) for other in others))
--- a/tests/agreement/test_cancelled_writes.py
+++ b/tests/agreement/test_cancelled_writes.py
@@ -135,7 +135,7 @@
     member.store.entries.append(Entry(term=1, data=b"x"))
     Store.write_entries(member.store, index=1, entries=member.store.entries)
     member.commit_index = 1
-    member.committed.set()
+    member.commit_advanced.set()
     return member.apply_committed()
 
 
