--- a/src/hyssopway/agreement/__init__.py
+++ b/src/hyssopway/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""Agreement of the control members on one log."""
+"""Raft consensus of the control members on a replicated log."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/agreement/atomic_file.py
+++ b/src/hyssopway/agreement/atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole."""
+"""Checksummed files that are replaced atomically."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Replaces a file atomically and durably, with a checksum in front.
+    """Replaces a file atomically and durably; a checksum precedes the data.
 
     Raises:
         StorageError: The disk is full, read-only or failing.
@@ -36,7 +36,7 @@
 
 
 def read_checksummed(path: Path) -> bytes | None:
-    """Reads a file written by `write_whole`; None when it does not exist.
+    """Returns the data of a file written by `write_atomically`, or None if the file does not exist.
 
     Raises:
         LogDamagedError: The checksum does not match.
--- a/src/hyssopway/agreement/cancellation.py
+++ b/src/hyssopway/agreement/cancellation.py
@@ -1,4 +1,4 @@
-"""Runs work that must not stop halfway."""
+"""Protection of store writes against task cancellation."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 async def run_to_completion(work: Coroutine[Any, Any, T]) -> T:
-    """Runs a coroutine to its end even when the caller is cancelled.
+    """Runs a coroutine to completion even if the caller is cancelled.
 
-    A peer that gives up a call cancels its handler. A handler that left while a thread still writes would
-    release the member's lock and let a second write into the same file.
+    When a peer abandons a call, its handler is cancelled. A handler that exited while a thread is still writing
+    would release the member's lock and allow a second, concurrent write to the same file.
     """
     return await asyncio.shield(asyncio.ensure_future(work))
 
 
 async def defer_cancellation(work: asyncio.Future[T]) -> T:
-    """Waits for work that cannot be stopped; a cancellation takes effect when the work has ended.
+    """Waits for work that cannot be interrupted and delivers a cancellation only after the work has ended.
 
     Raises:
-        CancelledError: The caller was cancelled meanwhile.
+        CancelledError: The caller was cancelled while it waited.
     """
     is_cancelled = False
     while not work.done():
--- a/src/hyssopway/agreement/configuration.py
+++ b/src/hyssopway/agreement/configuration.py
@@ -1,4 +1,4 @@
-"""Members of the group."""
+"""Membership of the Raft group."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """Which members vote and which only learn.
+    """Voters and learners of the group.
 
-    A member id is ``daemon/identity``; the identity is new for each new data folder, so that a member
-    whose disk was lost does not use a vote that it may have cast before.
+    A member id has the form ``daemon/identity``. Each new data folder gets a new identity, so a member that lost
+    its disk cannot vote a second time in a term under its old id.
 
     Attributes:
-        voters: Ids of members that vote.
-        learners: Ids of members that receive the log without a vote.
+        voters: Ids of the voting members.
+        learners: Ids of the members that receive the log but do not vote.
     """
 
     voters: tuple[str, ...] = ()
@@ -24,26 +24,26 @@
 
     @property
     def quorum(self) -> int:
-        """Votes needed for a decision."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def members(self) -> tuple[str, ...]:
-        """All members."""
+        """Ids of all voters and learners."""
         return (*self.voters, *self.learners)
 
     def encode(self) -> bytes:
-        """Encodes the configuration for the log."""
+        """Encodes the configuration as the data of a log entry."""
         return _ADAPTER.dump_json(self)
 
     @staticmethod
     def decode(data: bytes) -> Configuration:
-        """Decodes a configuration from the log."""
+        """Decodes the data of a configuration entry."""
         return _ADAPTER.validate_json(data)
 
 
 def daemon_of(member_id: str) -> str:
-    """Returns the daemon that carries a member."""
+    """Returns the name of the daemon that hosts a member."""
     return member_id.partition("/")[0]
 
 
--- a/src/hyssopway/agreement/crash_points.py
+++ b/src/hyssopway/agreement/crash_points.py
@@ -1,7 +1,7 @@
-"""Named points at which a process kills itself, for tests of crashes.
+"""Named crash points for fault injection in tests.
 
-`HYSSOPWAY_CRASH_POINT=name:count` ends the process with SIGKILL when it reaches the point for the count-th time.
-Without the variable a point does nothing.
+With `HYSSOPWAY_CRASH_POINT=name:count` in the environment the process sends itself SIGKILL when it reaches the point
+for the count-th time. Without the variable, crash points have no effect.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class _Countdown:
-    """Arrivals left at the point that is enabled."""
+    """Number of times the enabled crash point may still be reached."""
 
     __slots__ = ("lock", "name", "remaining")
 
@@ -33,15 +33,15 @@
         name, _, count = setting.partition(":")
         if name and (name not in CRASH_POINTS or not count.isdigit()):
             raise ValueError(
-                f"{CRASH_POINT_VARIABLE}={setting!r} is not one of {', '.join(CRASH_POINTS)} with a count"
+                f"{CRASH_POINT_VARIABLE}={setting!r} is not name:count with one of {', '.join(CRASH_POINTS)}"
             )
         self.name = name
         self.remaining = int(count or 0)
-        # Points are reached on the event loop and in threads that write.
+        # Crash points are reached on the event loop and in writer threads.
         self.lock = threading.Lock()
 
     def count_down(self) -> None:
-        """Counts one arrival and ends the process at the last."""
+        """Decrements the counter and kills the process when it reaches zero."""
         with self.lock:
             self.remaining -= 1
             if self.remaining <= 0:
@@ -52,7 +52,7 @@
 
 
 def crash_point(name: str) -> None:
-    """Ends the process here if the point is enabled and its count is reached."""
+    """Kills the process if this crash point is enabled and its count is reached."""
     if name == _COUNTDOWN.name:
         _COUNTDOWN.count_down()
 
--- a/src/hyssopway/agreement/election.py
+++ b/src/hyssopway/agreement/election.py
@@ -1,4 +1,4 @@
-"""Elections and the check that a leader still reaches a quorum."""
+"""Leader elections, and the checks after which a leader steps down."""
 
 from __future__ import annotations
 
@@ -20,19 +20,18 @@
 
 
 MAX_TIMEOUT_DOUBLINGS = 3
-# Keeps members that doubt a leader at the same moment from running at the same moment; longer than a vote on a slow
-# disk.
+# Staggers the campaigns of members that suspect the leader at the same time; longer than a vote takes on a slow disk.
 EARLY_CAMPAIGN_STEP_S = 0.04
 EARLY_CAMPAIGN_RETRY_S = 0.04
 
 
 async def run_elections(*, member: Member, transport: Transport, rng: random.Random) -> None:
-    """Starts an election after each silence, for as long as the member runs."""
+    """Runs the election timer until the member stops."""
     lost_elections = 0
-    # A member that has just started knows no leader.
+    # A member that has just started does not know a leader.
     member.leader_suspicion.start()
     while member.role is not Role.STOPPED:
-        # Growing timeouts let a group whose disks are slow elect a leader at all.
+        # Without growing timeouts, a group with slow disks might never elect a leader.
         factor = 2 ** min(lost_elections, MAX_TIMEOUT_DOUBLINGS)
         timeout_s = factor * rng.uniform(member.timers.election_min_s, member.timers.election_max_s)
         is_suspected = await member.leader_suspicion.wait(
@@ -46,13 +45,17 @@
             _check_quorum(member)
             _check_own_disk(member)
         elif _may_campaign(member, silence_s=timeout_s):
-            # A failed pre-vote costs no disk write, so it does not slow down the next try: after a long
-            # isolation the group elects a leader within the shortest timeouts.
+            # A failed pre-vote does not count as a lost election because it writes nothing to disk: after a
+            # long isolation the group still elects a leader within the shortest timeout.
             lost_elections += await _campaign(member=member, transport=transport)
 
 
 async def _campaign_early(*, member: Member, transport: Transport) -> bool:
-    """Runs for election until a leader is heard or the doubt is old; tells whether a real election was lost."""
+    """Campaigns until a leader is heard or `election_max_s` has passed.
+
+    Returns:
+        Whether an election was lost; failed pre-votes do not count.
+    """
     has_lost = False
     deadline = member.clock() + member.timers.election_max_s
     while member.clock() < deadline and _may_campaign_early(member):
@@ -87,7 +90,7 @@
         reverse=True,
     )
     quorum = member.configuration.quorum
-    # Stepping down helps only if the others are a quorum without this member.
+    # Stepping down helps only if a quorum of the other voters is ahead of this disk.
     if len(others) < quorum or others[quorum - 1] <= member.store.synced_index:
         member.disk_lagging_since = float("inf")
         return
@@ -95,7 +98,7 @@
     if member.clock() - member.disk_lagging_since >= member.timers.stall_s:
         log_event(Event.DISK_STALLED, synced_index=member.store.synced_index, index=others[quorum - 1])
         member.suspend_candidacy()
-        member.step_down(reason="own disk is slower than a quorum of the others")
+        member.step_down(reason="own disk is slower than the disks of a quorum of the other voters")
 
 
 def _check_quorum(member: Member) -> None:
@@ -107,14 +110,14 @@
     if reachable >= member.configuration.quorum:
         return
     if member.clock() - member.heard_at < member.timers.election_max_s:
-        return  # elected a moment ago; followers had no time to answer
+        return  # elected so recently that followers had no time to answer
     log_event(Event.QUORUM_LOST, reachable=reachable, voters=len(voters))
-    member.step_down(reason="no quorum answers")
+    member.step_down(reason="no quorum of voters is reachable")
     member.heard_at = member.clock()
 
 
 async def _campaign(*, member: Member, transport: Transport) -> bool:
-    """Runs for election and tells whether a real election was lost."""
+    """Runs a pre-vote and an election; returns whether the election was lost (a failed pre-vote is not)."""
     member.role = Role.CANDIDATE
     member.leader_id = ""
     term = member.term + 1
@@ -124,11 +127,11 @@
         if member.role is not Role.CANDIDATE or member.clock() < member.candidacy_suspended_until:
             return False
         if member.term != term - 1:
-            return False  # another election began since the pre-vote
+            return False  # another election has started since the pre-vote
         member.drop_unsynced()
         try:
             await member.run_write(member.store.write_vote, term=term, voted_for=member.member_id)
-            # Pre-votes of others wait for the outcome of this election.
+            # Makes this member refuse pre-votes to other candidates until this election is decided.
             member.vote_granted_at = member.clock()
         except StorageError as error:
             member.handle_storage_error(error)
@@ -159,7 +162,7 @@
                     last_term=last_term,
                     pre_vote=pre_vote,
                 ),
-                # A pre-vote costs no disk write, and a voter that is gone must not hold up the next try.
+                # A pre-vote needs no disk write, and an unreachable voter must not delay the next attempt.
                 timeout_s=member.timers.election_min_s if pre_vote else member.timers.call_s,
             )
         )
--- a/src/hyssopway/agreement/entry.py
+++ b/src/hyssopway/agreement/entry.py
@@ -1,4 +1,4 @@
-"""One entry of the replicated log."""
+"""Entries of the replicated log."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry carries."""
+    """Type of the data in a log entry."""
 
     COMMAND = 0
     NO_OPERATION = 1
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Entry:
-    """A log entry; its index is its position in the log.
+    """A log entry; its position in the log is its index.
 
     Attributes:
-        term: Term of the leader that created it.
-        kind: What it carries.
-        data: Encoded command or configuration.
+        term: Term of the leader that created the entry.
+        kind: Type of the data.
+        data: Encoded command or configuration; empty for a no-op.
     """
 
     term: int
--- a/src/hyssopway/agreement/leader_suspicion.py
+++ b/src/hyssopway/agreement/leader_suspicion.py
@@ -1,4 +1,4 @@
-"""Reasons to believe that the leader is gone before its silence has lasted long."""
+"""Suspicion that the leader has failed, before the election timeout expires."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class LeaderSuspicion:
-    """Whether a member has a reason to look for another leader.
+    """Records when a member last had a reason to suspect that there is no live leader.
 
-    A lost connection or a start of the own process says much earlier than a long silence that a leader may be
-    needed. A member that hears a leader after the doubt has begun drops it.
+    A lost connection to the leader or the start of the own process indicates much earlier than the election timeout
+    that an election may be needed. The suspicion ends when the member hears from a leader again.
 
     Attributes:
-        clock: Monotonic seconds.
-        began_at: Local time at which the last doubt began.
-        raised: Set when a doubt begins.
+        clock: Clock in monotonic seconds.
+        started_at: Local time at which the last suspicion started.
+        started: Set when a suspicion starts.
     """
 
     __slots__ = ("clock", "started", "started_at")
@@ -29,16 +29,16 @@
         self.started = asyncio.Event()
 
     def start(self) -> None:
-        """Begins a doubt now."""
+        """Starts a suspicion now."""
         self.started_at = self.clock()
         self.started.set()
 
     def is_active(self, *, heard_at: float) -> bool:
-        """Tells whether no leader was heard since the doubt began."""
+        """Returns whether no leader was heard since the suspicion started."""
         return self.started_at >= heard_at
 
     async def wait(self, *, timeout_s: float) -> bool:
-        """Waits for a doubt to begin and tells whether one did."""
+        """Waits for a suspicion to start; returns False when the timeout expires first."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self.started.wait()
--- a/src/hyssopway/agreement/log_file.py
+++ b/src/hyssopway/agreement/log_file.py
@@ -1,4 +1,4 @@
-"""The log file of a member."""
+"""Append-only log file of a member."""
 
 from __future__ import annotations
 
@@ -19,14 +19,15 @@
 
 
 class LogFile:
-    """Entries behind the last snapshot, synced on request.
+    """Log entries after the last snapshot, in a file of checksummed records.
 
     Attributes:
-        path: The file.
+        path: Path of the file.
         first_index: Index of the first entry in the file.
-        offsets: Start offset of each entry in the file.
-        end: Length of the intact part of the file.
-        syncs: Syncs made since the start.
+        offsets: Start offset of each entry in the file, in bytes.
+        end: Offset in bytes at which the intact records end.
+        syncs: Number of syncs since the process started.
+        descriptor: Descriptor of the open file; -1 when closed.
     """
 
     __slots__ = ("descriptor", "end", "first_index", "offsets", "path", "syncs")
@@ -42,10 +43,10 @@
     def open(self, *, first_index: int) -> list[Entry]:
         """Opens or creates the file and returns its entries from `first_index` on.
 
-        A torn record at the end is cut off: it was never acknowledged.
+        A torn record at the end is truncated: it was never acknowledged.
 
         Raises:
-            LogDamagedError: A record in the middle is damaged.
+            LogDamagedError: A record that is not the last one is damaged, or entries are missing.
             StorageError: The file cannot be read or written.
         """
         try:
@@ -56,7 +57,7 @@
         return self._load(data=data, first_index=first_index)
 
     def append(self, *, index: int, entries: Sequence[Entry]) -> None:
-        """Writes entries from `index` on, replacing what stood there, and syncs once.
+        """Writes entries from `index` on, overwriting existing ones, and syncs once.
 
         Raises:
             StorageError: The disk is full, read-only or failing.
@@ -84,7 +85,7 @@
         self.end = offset
 
     def rewrite(self, *, first_index: int, entries: Sequence[Entry]) -> None:
-        """Replaces the file by one with these entries.
+        """Atomically replaces the file with one that holds only these entries.
 
         Raises:
             StorageError: The disk is full, read-only or failing.
@@ -99,7 +100,7 @@
             replacement.close()
             raise StorageError(f"cannot replace {self.path}: {error}") from error
         crash_point("log-replaced")
-        # From the rename on the old file has no name; entries written to it would be lost.
+        # The rename unlinked the old file, so entries written to its descriptor would be lost.
         os.close(self.descriptor)
         self.descriptor = replacement.descriptor
         self.first_index, self.offsets, self.end = first_index, replacement.offsets, replacement.end
@@ -116,9 +117,10 @@
             self.descriptor = -1
 
     def _truncate_tail(self) -> None:
-        """Cuts off what stands behind the intact part.
+        """Truncates the file after the intact records.
 
-        Records left there would look like damage in the middle after a crash in the next write.
+        If old records were left there and the next write was torn by a crash, they would follow the torn record and
+        make it look like damage in the middle of the file.
         """
         try:
             if os.fstat(self.descriptor).st_size > self.end:
@@ -133,7 +135,7 @@
         offset = expected = 0
         for end, index, entry in decode_records(data):
             if expected and index != expected:
-                raise LogDamagedError(f"{self.path}: entry {index} stands where {expected} belongs")
+                raise LogDamagedError(f"{self.path}: found entry {index} instead of entry {expected}")
             expected = index + 1
             if index >= first_index:
                 if not entries and index > first_index:
@@ -144,7 +146,7 @@
         self._truncate_torn_tail(data=data, end=offset)
         self.end = offset
         if not entries:
-            # A crash between writing a snapshot and rewriting the log leaves only entries that it covers.
+            # After a crash between writing a snapshot and rewriting the log, the snapshot may cover all entries.
             os.ftruncate(self.descriptor, 0)
             self.end = 0
         return entries
@@ -162,7 +164,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Makes a rename in a folder durable."""
+    """Syncs a folder, which makes renames in it durable."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
--- a/src/hyssopway/agreement/member.py
+++ b/src/hyssopway/agreement/member.py
@@ -1,4 +1,4 @@
-"""A member of the replicated log.
+"""A member of the Raft group.
 
 Implements Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014) with
 pre-vote, check-quorum and learners (Ongaro, "Consensus: Bridging Theory and Practice", 2014, chapters 4,
@@ -45,31 +45,35 @@
 
 
 class Member:
-    """State of one member and what changes it.
+    """State of one member and its transitions.
 
     Attributes:
-        daemon: Daemon that carries the member.
+        daemon: Name of the daemon that hosts the member.
         store: Durable state.
-        machine: State that committed entries are applied to.
-        timers: Durations.
-        clock: Monotonic seconds.
+        state_machine: State machine that committed entries are applied to.
+        timers: Timeouts and intervals.
+        clock: Clock in monotonic seconds.
+        snapshot_entries: Number of applied entries after which a snapshot is written.
         role: Role in the current term.
-        leader_id: Leader of the current term as far as known; empty when unknown.
+        leader_id: Id of the leader of the current term; empty when unknown.
         commit_index: Last index known to be committed.
-        applied_index: Last index applied.
+        applied_index: Last index applied to the state machine.
         started_at: Local time at which the process started.
-        heard_at: Local time of the last message of a leader or of a granted vote.
-        granted_at: Local time of the last vote, granted to another member or to itself.
-        doubt: Reasons to believe that the leader is gone.
-        configuration: Members of the group.
-        progress: For a leader, replication by member id.
-        progress_changed: Set when `progress` has other members than before.
-        waiting: Proposals by index whose outcome is awaited.
-        suspended_until: Local time before which the member does not run for election.
-        held_up_since: Local time since which a leader's own disk holds up the group.
-        term_start: Index of the first entry of a leader's own term.
+        heard_at: Local time of the last message from a leader or of the last vote for another member.
+        vote_granted_at: Local time of the last vote, for another member or for itself.
+        leader_suspicion: Suspicion that the leader has failed.
+        configuration: Voters and learners of the group.
+        progress: On a leader, the replication progress by member id.
+        progress_changed: Set when members were added to or removed from `progress`.
+        pending_proposals: Term and future of each proposal that waits for its outcome, by index.
+        candidacy_suspended_until: Local time before which the member does not campaign.
+        disk_lagging_since: Local time since which a leader's disk lags behind a quorum of the other voters.
+        term_start_index: Index of the first entry of a leader's own term.
         lock: Held while durable state changes.
-        writer: The one thread that writes to the store.
+        writer: Executor with the only thread that writes to the store.
+        sync_needed: Set when a leader has appended entries that are not durable yet.
+        commit_advanced: Set when `commit_index` has advanced.
+        ack_received: Notified when a member has acknowledged a message of this leader.
     """
 
     def __init__(
@@ -112,7 +116,7 @@
 
     @property
     def member_id(self) -> str:
-        """Identity of the member."""
+        """Id of the member."""
         return self.store.member_id
 
     @property
@@ -122,21 +126,25 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this member leads its term."""
+        """Whether this member is the leader of its term."""
         return self.role is Role.LEADER
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member votes."""
+        """Whether this member is a voter."""
         return self.member_id in self.configuration.voters
 
     @property
     def leader_daemon(self) -> str:
-        """Daemon that carries the leader; empty when unknown."""
+        """Name of the daemon that hosts the leader; empty when unknown."""
         return daemon_of(self.leader_id) if self.leader_id else ""
 
     def open(self, *, initial: Configuration | None) -> None:
-        """Reads durable state; `initial` starts a new group."""
+        """Loads durable state.
+
+        Args:
+            initial: Configuration of a new group, for an empty data folder; None for a member that joins later.
+        """
         self.store.open(daemon=self.daemon, initial=initial)
         self.configuration = self.store.configuration()
         if self.store.snapshot.index:
@@ -144,18 +152,18 @@
         self.commit_index = self.applied_index = self.store.snapshot.index
 
     async def propose(self, *, data: bytes, timeout_s: float) -> Result[Outcome, Failure]:
-        """Appends a command and waits until it is applied.
+        """Appends a command as leader and waits until it is applied.
 
         Returns:
-            The outcome, or NOT_LEADER when nothing was appended, or OUTCOME_UNKNOWN when the command may
-            still be applied.
+            The outcome, NOT_LEADER when nothing was appended, or OUTCOME_UNKNOWN when the command may still be
+            applied.
         """
         return await self.append_entry(Entry(term=self.term, data=data), timeout_s=timeout_s)
 
     async def append_entry(self, entry: Entry, *, timeout_s: float) -> Result[Outcome, Failure]:
         """Appends an entry as leader and waits until it is applied."""
         if not self.is_leader:
-            message = f"leader is {self.leader_daemon}" if self.leader_id else "no leader is known"
+            message = f"the leader is {self.leader_daemon}" if self.leader_id else "no leader is known"
             return Error(Failure(code=ResultCode.NOT_LEADER, message=message))
         crash_point("received")
         self.store.entries.append(entry)
@@ -180,14 +188,16 @@
         return Ok(outcome)
 
     async def change_members(self, change: MemberChange, *, timeout_s: float) -> Result[Outcome, Failure]:
-        """Adds, promotes or removes one member and waits until that is committed.
+        """Adds, promotes or removes one member and waits until the change is applied.
 
         Returns:
-            The outcome; MEMBERSHIP_BUSY while another change is in progress, NOT_CAUGHT_UP for a learner that
-            lacks entries, or what `append_entry` returns.
+            The outcome, a failure of `next_configuration` (such as MEMBERSHIP_BUSY while another change is in
+            progress, or NOT_CAUGHT_UP for a learner that lacks entries), or a failure of `append_entry`.
         """
         if not self.is_leader:
-            return Error(Failure(code=ResultCode.NOT_LEADER, message="only the leader changes members"))
+            return Error(
+                Failure(code=ResultCode.NOT_LEADER, message="only the leader can change the members")
+            )
         match next_configuration(member=self, change=change):
             case Result(tag="ok", ok=configuration) if configuration == self.configuration:
                 return Ok(Outcome(index=self.store.configuration_index()))
@@ -199,10 +209,11 @@
                 return Error(failure)
 
     def quorum_acked_at(self) -> float:
-        """Returns the local time up to which this leader surely knows everything committed.
+        """Returns the local time up to which a quorum has confirmed this leader.
 
-        A quorum answered messages sent at or after that time in this term, so no other leader committed
-        anything before it.
+        A quorum has acknowledged messages that were sent at or after that time in this term, so no other leader
+        committed anything before it. Returns negative infinity on a member that does not lead, and on a leader
+        until the first entry of its term is applied.
         """
         if (
             not self.is_leader
@@ -220,7 +231,7 @@
         return times[self.configuration.quorum - 1]
 
     async def read_index(self, *, timeout_s: float) -> Result[int, Failure]:
-        """Returns an index that covers every change committed before this call."""
+        """Returns an index that covers every change committed before this call, for a linearizable read."""
         start = self.clock()
         self.wake_replication()
         try:
@@ -231,54 +242,54 @@
         except TimeoutError:
             pass
         if not self.is_leader or self.quorum_acked_at() < start:
-            return Error(Failure(code=ResultCode.NO_QUORUM, message="no quorum confirms the leader"))
+            return Error(Failure(code=ResultCode.NO_QUORUM, message="no quorum confirmed the leader in time"))
         return Ok(self.commit_index)
 
     def wake_replication(self) -> None:
-        """Makes every replication task send at once."""
+        """Wakes the replication tasks so that they send at once."""
         for progress in self.progress.values():
             progress.wake.set()
 
     async def run_write(self, call: Callable[..., T], **arguments: Any) -> T:
-        """Runs a blocking call of the store in the member's one writing thread.
+        """Runs a blocking call of the store in the writer thread; the caller holds the lock.
 
-        The caller holds the lock. A caller that is cancelled leaves only when the call has ended: until then
-        the lock must keep others from the files and from the state that the call reads.
+        A cancellation takes effect only after the call has ended: until then the lock must protect the files and the
+        state that the call reads.
         """
         loop = asyncio.get_running_loop()
         return await defer_cancellation(loop.run_in_executor(self.writer, partial(call, **arguments)))
 
     def check_running(self) -> None:
-        """Refuses calls of others once the member has stopped; the caller holds the lock.
+        """Raises an error if the member has stopped; the caller holds the lock.
 
         Raises:
-            StorageError: The store is being closed.
+            StorageError: The member has stopped, and its store is closed or about to be closed.
         """
         if self.role is Role.STOPPED:
             raise StorageError(f"member {self.member_id} has stopped")
 
     async def stop(self) -> None:
-        """Stops for good and closes the store after the last write has ended.
+        """Stops the member permanently and closes the store after the last write has ended.
 
-        Cancelled tasks leave writes behind in threads; closing the files under them would fail these writes
-        or, worse, let them reach a file that was opened since.
+        Writes of cancelled tasks go on in the writer thread. If the files were closed before, these writes would fail
+        or, worse, reach another file that has been given the same descriptor.
         """
         async with self.lock:
-            self.step_down(reason="the daemon stops")
+            self.step_down(reason="the daemon is stopping")
             self.role = Role.STOPPED
         await asyncio.to_thread(self.writer.shutdown)
         self.store.close()
 
     async def adopt_term(self, term: int) -> None:
-        """Follows a higher term; the caller holds the lock."""
+        """Steps down and adopts a term if it is higher than the current one; the caller holds the lock."""
         if term <= self.term or self.role is Role.STOPPED:
             return
-        self.step_down(reason=f"term {term} was seen")
+        self.step_down(reason=f"received a message with higher term {term}")
         self.leader_id = ""
         await self.run_write(self.store.write_vote, term=term, voted_for="")
 
     def step_down(self, *, reason: str) -> None:
-        """Stops leading or running for election."""
+        """Becomes a follower; the outcomes of pending proposals remain unknown."""
         if self.role is Role.STOPPED:
             return
         if self.is_leader:
@@ -291,7 +302,7 @@
                 future.set_result(None)
 
     def become_leader(self) -> None:
-        """Starts leading the current term."""
+        """Becomes leader of the current term and appends a no-op entry."""
         self.disk_lagging_since = float("inf")
         self.role = Role.LEADER
         self.leader_id = self.member_id
@@ -307,7 +318,7 @@
         log_event(Event.LEADER_ELECTED, term=self.term)
 
     def adopt_configuration(self) -> None:
-        """Takes the latest configuration from the log."""
+        """Switches to the latest configuration in the log, committed or not."""
         configuration = self.store.configuration()
         if configuration == self.configuration:
             return
@@ -322,7 +333,7 @@
             self.progress_changed.set()
 
     def advance_commit(self) -> None:
-        """Commits what a quorum holds, if the leader's own term is reached."""
+        """Advances the commit index to the last entry of the own term that a quorum holds."""
         matches = sorted(
             (
                 self.store.synced_index if voter == self.member_id else self.progress[voter].match_index
@@ -330,16 +341,17 @@
             ),
             reverse=True,
         )
-        # Applying only what is durable here keeps a restart from going back behind what was answered.
+        # Only entries that are durable here are committed: otherwise the state after a restart could be older than
+        # the state that callers were told about.
         index = min(matches[self.configuration.quorum - 1], self.store.synced_index)
         if index > self.commit_index and self.store.term_at(index) == self.term:
             self.commit_index = index
             self.commit_advanced.set()
-            # Followers learn of the commit now and not with the next heartbeat.
+            # Followers learn about the commit at once instead of with the next heartbeat.
             self.wake_replication()
 
     async def sync_own_log(self) -> None:
-        """Writes appended entries, many with one sync, for as long as the member runs."""
+        """Writes the entries that the leader appended, in batches with one sync each, until the member stops."""
         while self.role is not Role.STOPPED:
             await self.sync_needed.wait()
             self.sync_needed.clear()
@@ -359,7 +371,7 @@
                 self.advance_commit()
 
     async def apply_committed(self) -> None:
-        """Applies committed entries for as long as the member runs."""
+        """Applies committed entries and writes snapshots until the member stops."""
         while self.role is not Role.STOPPED:
             await self.commit_advanced.wait()
             self.commit_advanced.clear()
@@ -370,21 +382,21 @@
             await self._compact()
 
     def suspend_candidacy(self) -> None:
-        """Leaves elections to members with a working disk for a while.
+        """Stops the member from campaigning for `suspend_s`, so that a member with a working disk can win.
 
-        A vote fits on a full disk, so a member that could not write its log would win again at once.
+        A vote still fits on a full disk, so a member that cannot write its log could win every election.
         """
         self.candidacy_suspended_until = self.clock() + self.timers.suspend_s
 
     def handle_storage_error(self, error: StorageError) -> None:
-        """Gives up the lead when the disk fails; unsynced entries are forgotten."""
+        """Steps down and drops entries that are not durable after a write has failed."""
         log_event(Event.STORAGE_FAILED, error=str(error))
         self.suspend_candidacy()
-        self.step_down(reason="storage failed")
+        self.step_down(reason="a write to the store failed")
         self.drop_unsynced()
 
     def drop_unsynced(self) -> None:
-        """Forgets entries that are not durable here."""
+        """Drops entries from memory that are not durable here."""
         del self.store.entries[self.store.synced_index - self.store.snapshot.index :]
         self.configuration = self.store.configuration()
 
@@ -400,7 +412,7 @@
         if future is not None and not future.done():
             future.set_result(outcome if term == entry.term else None)
         if entry.kind is EntryKind.CONFIGURATION and self.is_leader and not self.is_voter:
-            self.step_down(reason="this member was removed")
+            self.step_down(reason="this member was removed from the group")
 
     async def _compact(self) -> None:
         if self.applied_index - self.store.snapshot.index >= self.snapshot_entries:
--- a/src/hyssopway/agreement/member_dump.py
+++ b/src/hyssopway/agreement/member_dump.py
@@ -1,4 +1,4 @@
-"""Dump of the state of one member."""
+"""Diagnostic dump of the state of a member."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def dump_member(member: Member) -> dict[str, Any]:
-    """Returns what a member knows of the group and of its own log."""
+    """Returns the state of a member's log and its view of the group."""
     return {
         "member_id": member.member_id,
         "role": member.role,
--- a/src/hyssopway/agreement/membership.py
+++ b/src/hyssopway/agreement/membership.py
@@ -1,7 +1,7 @@
-"""Changes of the members of a group, one at a time.
+"""Single-server membership changes.
 
-Follows Ongaro's thesis, chapter 4: a new configuration counts from when it is appended, differs by one member
-from the one before, and follows a committed entry of the leader's own term.
+Follows chapter 4 of Ongaro's thesis: a new configuration takes effect when it is appended, differs from the previous
+one by one member, and is appended only after an entry of the leader's own term is committed.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 if TYPE_CHECKING:
     from .member import Member
 
-# A learner this close holds everything within a heartbeat; asking for equality would refuse it under load.
+# In entries. A learner this close catches up within a heartbeat; a limit of 0 would refuse it under load.
 MAX_PROMOTION_LAG = 100
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AddLearner:
-    """Adds a member that receives the log without a vote.
+    """Adds a member as a learner, which receives the log but does not vote.
 
     Attributes:
-        member_id: The member.
+        member_id: Id of the member.
     """
 
     member_id: str
@@ -35,10 +35,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteLearner:
-    """Gives a learner a vote.
+    """Turns a learner into a voter.
 
     Attributes:
-        member_id: The member.
+        member_id: Id of the member.
     """
 
     member_id: str
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RemoveMember:
-    """Removes a voter or learner.
+    """Removes a voter or a learner.
 
     Attributes:
-        member_id: The member.
+        member_id: Id of the member.
     """
 
     member_id: str
@@ -59,12 +59,17 @@
 
 
 def next_configuration(*, member: Member, change: MemberChange) -> Result[Configuration, Failure]:
-    """Returns the configuration after a change, equal to the present one when there is nothing to do."""
+    """Validates a change and returns the new configuration.
+
+    Returns:
+        The new configuration, equal to the current one when there is nothing to do; MEMBERSHIP_BUSY, MEMBER_EXISTS,
+        UNKNOWN_MEMBER, NOT_CAUGHT_UP, LAST_VOTER or NO_QUORUM.
+    """
     if (
         member.commit_index < member.term_start_index
         or member.store.configuration_index() > member.commit_index
     ):
-        message = "another change of members, or the start of the leader's term, is not committed yet"
+        message = "another membership change or the first entry of the leader's term is not committed yet"
         return _refuse(ResultCode.MEMBERSHIP_BUSY, message, retry_after_s=1.0)
     match change:
         case AddLearner(member_id=member_id):
@@ -80,7 +85,7 @@
         return Ok(old)
     same_daemon = [other for other in old.members if daemon_of(other) == daemon_of(member_id)]
     if same_daemon:
-        message = f"{same_daemon[0]} is a member already; remove it first if its disk is lost"
+        message = f"{same_daemon[0]} is already a member; if its disk is lost, remove it first"
         return _refuse(ResultCode.MEMBER_EXISTS, message)
     return Ok(Configuration(voters=old.voters, learners=(*old.learners, member_id)))
 
@@ -95,7 +100,7 @@
     lag = member.commit_index - progress.match_index
     silence_s = member.clock() - progress.acked_at
     if lag > MAX_PROMOTION_LAG or silence_s > member.timers.election_max_s:
-        message = f"{member_id} lacks {lag} entries and answered {silence_s:.1f} s ago; try again later"
+        message = f"{member_id} lacks {lag} entries and last answered {silence_s:.1f} s ago; try again later"
         return _refuse(ResultCode.NOT_CAUGHT_UP, message, retry_after_s=1.0)
     learners = tuple(learner for learner in old.learners if learner != member_id)
     return Ok(Configuration(voters=(*old.voters, member_id), learners=learners))
@@ -117,8 +122,8 @@
         for voter in new.voters
     )
     if reachable < new.quorum:
-        # The change could never be committed, and the group would stop.
-        message = f"only {reachable} of the {len(new.voters)} voters that remain answer"
+        # The change could not be committed, and the group would lose its quorum.
+        message = f"only {reachable} of the {len(new.voters)} remaining voters are reachable"
         return _refuse(ResultCode.NO_QUORUM, message, retry_after_s=1.0)
     return Ok(new)
 
--- a/src/hyssopway/agreement/messages.py
+++ b/src/hyssopway/agreement/messages.py
@@ -1,4 +1,4 @@
-"""Messages between members."""
+"""Messages of the Raft protocol."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VoteRequest:
-    """A candidate asks for a vote.
+    """Request of a candidate for a vote.
 
     Attributes:
         term: Term that the candidate wants to lead.
         candidate: Id of the candidate.
-        target: Id of the member that is asked.
-        last_index: Index of its last entry.
-        last_term: Term of its last entry.
-        pre_vote: Whether this only asks if a vote would be granted.
+        target: Id of the member that the request is addressed to.
+        last_index: Index of the candidate's last entry.
+        last_term: Term of the candidate's last entry.
+        pre_vote: Whether the request only asks if a vote would be granted.
     """
 
     term: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VoteReply:
-    """Answer to a vote request.
+    """Reply to a vote request.
 
     Attributes:
         term: Current term of the voter.
@@ -43,16 +43,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AppendRequest:
-    """A leader sends entries or a heartbeat.
+    """Entries or, if empty, a heartbeat from a leader.
 
     Attributes:
         term: Term of the leader.
         leader: Id of the leader.
-        target: Id of the member it is meant for.
-        previous_index: Index before the first entry.
-        previous_term: Term at that index.
-        commit_index: Index up to which the leader has committed.
-        entries: Entries to append.
+        target: Id of the member that the request is addressed to.
+        previous_index: Index of the entry that precedes `entries`.
+        previous_term: Term of that entry.
+        commit_index: Last index that the leader has committed.
+        entries: Entries to append; empty in a heartbeat.
     """
 
     term: int
@@ -66,13 +66,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class AppendReply:
-    """Answer to entries, a heartbeat or a snapshot.
+    """Reply to entries, a heartbeat or a snapshot chunk.
 
     Attributes:
         term: Current term of the member.
-        success: Whether the member's log matches.
-        match_index: On success the last matching index, otherwise where to try next.
-        member: Id of the member that answers.
+        success: Whether the member accepted the request.
+        match_index: On success the last index known to match the leader's log, 0 if the log was not checked;
+            otherwise the index up to which the leader should check next.
+        member: Id of the member that replies.
     """
 
     term: int
@@ -83,17 +84,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotChunk:
-    """A part of a snapshot.
+    """A chunk of a snapshot.
 
     Attributes:
         term: Term of the leader.
         leader: Id of the leader.
         index: Last index that the snapshot covers.
-        index_term: Term at that index.
-        configuration: Encoded configuration at that index.
-        offset: Position of `data` in the snapshot.
-        data: Bytes of the snapshot.
-        last: Whether this is the last part.
+        index_term: Term of the entry at `index`.
+        configuration: Encoded configuration at `index`.
+        offset: Offset of `data` in the snapshot, in bytes.
+        data: Bytes of the snapshot state.
+        last: Whether this is the last chunk.
     """
 
     term: int
--- a/src/hyssopway/agreement/progress.py
+++ b/src/hyssopway/agreement/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of another member."""
+"""Replication progress of the other members, as tracked by the leader."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class Progress:
-    """Replication to one member.
+    """Progress of the replication to one member.
 
     Attributes:
-        member_id: The member.
-        next_index: First index to send next.
-        match_index: Last index known to be durable there.
+        member_id: Id of the member.
+        next_index: Index of the next entry to send.
+        match_index: Last index known to be durable on the member.
         sent_at: Local time at which the last message was sent.
-        acked_at: Local time at which the last answered message was sent.
+        acked_at: Local time at which the last acknowledged message was sent.
         wake: Set when there is something to send.
     """
 
--- a/src/hyssopway/agreement/record.py
+++ b/src/hyssopway/agreement/record.py
@@ -1,7 +1,7 @@
 """Checksummed records of the log file.
 
-A record is a header of length, checksum and index, followed by the body. The checksum covers index and
-body, so that a record copied to another place does not pass.
+A record consists of a header with length, checksum and index, and of a body. The checksum covers index and body, so
+it does not match when a record is stored under another index.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 
 
 def encode_record(*, index: int, entry: Entry) -> bytes:
-    """Encodes one entry."""
+    """Encodes an entry as a record."""
     body = _BODY.pack(entry.term, entry.kind) + entry.data
     return _HEADER.pack(len(body), _checksum(index=index, body=body), index) + body
 
 
 def decode_records(data: bytes) -> Iterator[tuple[int, int, Entry]]:
-    """Yields the end offset, index and entry of each intact record; stops at the first that is not."""
+    """Yields end offset, index and entry of each record up to the first damaged one."""
     offset = 0
     while offset + HEADER_BYTES <= len(data):
         length, checksum, index = _HEADER.unpack_from(data, offset)
@@ -44,9 +44,9 @@
 
 
 def find_later_record(data: bytes, *, start: int) -> int | None:
-    """Returns the offset of an intact record behind damage, or None.
+    """Returns the offset of an intact record after a damaged one at `start`, or None.
 
-    A torn write leaves nothing intact behind it; an intact record there proves damage in the middle.
+    Nothing follows a torn write, so an intact record proves that the damage has another cause.
     """
     for offset in range(start + 1, len(data) - HEADER_BYTES):
         length, checksum, index = _HEADER.unpack_from(data, offset)
--- a/src/hyssopway/agreement/replication.py
+++ b/src/hyssopway/agreement/replication.py
@@ -1,4 +1,4 @@
-"""Sends the log from the leader to the other members."""
+"""Replication of the log from the leader to the other members."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 MAX_BATCH_BYTES = 512 * 1024
 SNAPSHOT_CHUNK_BYTES = 1024 * 1024
-# The replication of an idle log sends a moment later than each heartbeat interval; with 1.0 every second message
-# was sent twice.
+# With an idle log, the replication task sends slightly later than every heartbeat interval; at a factor of 1.0, every
+# second message was sent twice.
 HEARTBEAT_DELAY_FACTOR = 1.5
 
 
 async def run_replication(*, member: Member, transport: Transport) -> None:
-    """Keeps one task for each other member while this member leads."""
+    """Runs a replication task for each other member, whenever this member leads, until it stops."""
     tasks: dict[int, asyncio.Task[None]] = {}
     try:
         while member.role is not Role.STOPPED:
@@ -44,7 +44,7 @@
             await member.progress_changed.wait()
             member.progress_changed.clear()
             if any(task.done() for task in tasks.values()):
-                # A task that fails at once is not restarted in a tight loop.
+                # Prevents a tight loop of restarts when a task fails at once.
                 await asyncio.sleep(member.timers.heartbeat_s / 4)
     finally:
         for task in tasks.values():
@@ -58,12 +58,12 @@
 
 
 async def answer_append(*, member: Member, request: AppendRequest) -> AppendReply:
-    """Appends entries of a leader, synced before the answer."""
+    """Handles entries or a heartbeat; entries are durable before the reply."""
     if request.target != member.member_id:
-        # Meant for a member whose disk was lost; this one has other state.
+        # Addressed to a former member of this daemon that lost its disk; this member has a different log.
         return _reply(member, success=False, match_index=0)
     if not request.entries and member.lock.locked() and _is_from_current_leader(member, request):
-        # A heartbeat does not wait for a write in progress; it says nothing about the log.
+        # A heartbeat does not wait for a write in progress, so its reply says nothing about the log.
         member.heard_at = member.clock()
         return _reply(member, success=True, match_index=0)
     async with member.lock:
@@ -85,7 +85,7 @@
 async def answer_snapshot(
     *, member: Member, assembler: SnapshotAssembler, chunk: SnapshotChunk
 ) -> AppendReply:
-    """Collects a snapshot of the leader and installs it when it is complete."""
+    """Handles a snapshot chunk; installs the snapshot after its last chunk."""
     async with member.lock:
         member.check_running()
         if chunk.term < member.term:
@@ -123,7 +123,7 @@
 
 
 async def _send_heartbeats(*, member: Member, transport: Transport, progress: Progress) -> None:
-    """Sends heartbeats while entries or a snapshot are on their way to a member with a slow disk."""
+    """Sends heartbeats while `_send_log` waits for a reply of a member with a slow disk."""
     term = member.term
     while _still_leads(member, term=term, progress=progress):
         sent_at = member.clock()
@@ -194,7 +194,7 @@
         progress.next_index = progress.match_index + 1
         member.advance_commit()
     elif not reply.success and reply.match_index >= previous_index:
-        # The log matches and the member cannot write: its disk gets time to recover.
+        # The log matches but the member cannot write, so the retry waits for its disk to recover.
         progress.next_index = max(1, reply.match_index + 1)
         await asyncio.sleep(member.timers.heartbeat_s)
     elif not reply.success:
@@ -214,7 +214,7 @@
     for offset in range(0, max(1, len(snapshot.data)), SNAPSHOT_CHUNK_BYTES):
         part = snapshot.data[offset : offset + SNAPSHOT_CHUNK_BYTES]
         if not _still_leads(member, term=term, progress=progress):
-            return  # the current term may belong to another leader
+            return  # another member may lead the current term
         chunk = SnapshotChunk(
             term=term,
             leader=member.member_id,
@@ -226,7 +226,7 @@
             last=offset + len(part) >= len(snapshot.data),
         )
         sent_at = progress.sent_at = member.clock()
-        # Installing writes and loads the whole state, which takes longer than a heartbeat.
+        # Longer than for entries: to install a snapshot, the member writes and loads the whole state.
         timeout_s = member.timers.call_s * 5
         reply = await transport.install_snapshot(daemon=daemon, chunk=chunk, timeout_s=timeout_s)
         if not reply.success or reply.term > member.term:
@@ -254,8 +254,8 @@
     store = member.store
     covered_count = store.snapshot.index - request.previous_index
     if covered_count > 0:
-        # The snapshot holds only committed entries, so they match. Refusing them would make a leader with an
-        # older snapshot send it forever.
+        # Entries covered by the own snapshot are committed, so they match. If they were refused, a leader with an
+        # older snapshot would send that snapshot again and again.
         request = replace(
             request,
             previous_index=store.snapshot.index,
@@ -306,7 +306,7 @@
 
 
 async def _wait_for_event(event: asyncio.Event, *, timeout_s: float) -> None:
-    # In Python 3.11 `asyncio.wait_for` would make a task for each wait.
+    # `asyncio.wait_for` creates a task for each wait in Python 3.11.
     try:
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/src/hyssopway/agreement/role.py
+++ b/src/hyssopway/agreement/role.py
@@ -1,4 +1,4 @@
-"""Role of a member."""
+"""Roles of a member."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Role(StrEnum):
-    """What a member does in its term."""
+    """Role of a member in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
--- a/src/hyssopway/agreement/slot_file.py
+++ b/src/hyssopway/agreement/slot_file.py
@@ -1,4 +1,4 @@
-"""A small file that is overwritten in place, atomically and durably."""
+"""A small file that is overwritten in place, atomically and durably, by keeping two copies."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 _HEADER = struct.Struct("<QQI")
 
-# One slot is a disk sector or more, so that writing one never touches the other.
+# At least one disk sector, so that a write to one slot never touches the other slot.
 SLOT_BYTES = 4096
 SLOTS = 2
 
 
 class SlotFile:
-    """Two copies that are written one after the other; the newer intact one counts.
+    """Two copies of a value that are written one after the other; the newer intact copy is valid.
 
-    A torn write leaves the other copy with the value before. Damage to one copy after the write leaves the
-    value itself in the other: a vote that fell back to an earlier one could be cast twice in a term.
+    After a torn write the other copy holds the previous value. If one copy is damaged after a complete write, the
+    other still holds the same value: a vote that reverted to an earlier one could be cast twice in a term.
 
-    Replacing a file by rename costs a journal commit of the file system: 67 ms at the median on the machine
-    that this was measured on, against 0.1 ms for a sync of a file that keeps its size. A vote must not take
-    longer than an election timeout.
+    Replacing a file by rename needs a journal commit of the file system, with a median of 67 ms against 0.1 ms for
+    the sync of a file that keeps its size. A vote must not take longer than an election timeout.
 
     Attributes:
-        path: The file.
-        sequence: Number of the last write.
+        path: Path of the file.
+        sequence: Sequence number of the last write.
+        descriptor: Descriptor of the open file; -1 when closed.
     """
 
     __slots__ = ("descriptor", "path", "sequence")
@@ -43,7 +43,7 @@
         self.descriptor = -1
 
     def open(self) -> bytes | None:
-        """Opens or creates the file and returns what was written last; None for a new file.
+        """Opens or creates the file and returns the last value written; None if there is none.
 
         Raises:
             LogDamagedError: No slot is intact.
@@ -60,10 +60,10 @@
         return self._read_newest(raw)
 
     def write(self, data: bytes) -> None:
-        """Writes and syncs one slot, then the other.
+        """Writes and syncs both slots, one after the other.
 
         Raises:
-            StorageError: The disk is full, read-only or failing.
+            StorageError: The data does not fit into a slot, or the disk is full, read-only or failing.
         """
         sequence = self.sequence + 1
         header = _HEADER.pack(_checksum(sequence=sequence, data=data), sequence, len(data))
@@ -73,7 +73,7 @@
             content = header + data
             for slot in range(SLOTS):
                 if os.pwrite(self.descriptor, content, SLOT_BYTES * slot) < len(content):
-                    raise StorageError(f"{self.path} was written only in part")
+                    raise StorageError(f"cannot write {self.path}: partial write")
                 os.fdatasync(self.descriptor)
         except OSError as error:
             raise StorageError(f"cannot write {self.path}: {error}") from error
--- a/src/hyssopway/agreement/snapshot.py
+++ b/src/hyssopway/agreement/snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot of the agreed state."""
+"""Snapshots of the replicated state."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """Agreed state up to an index.
+    """Replicated state up to a log index.
 
     Attributes:
-        index: Last index covered.
-        term: Term at that index.
+        index: Index of the last entry that the snapshot covers.
+        term: Term of that entry.
         configuration: Encoded configuration at that index.
-        data: Encoded state.
+        data: Encoded state of the state machine.
     """
 
     index: int = 0
--- a/src/hyssopway/agreement/snapshot_assembler.py
+++ b/src/hyssopway/agreement/snapshot_assembler.py
@@ -1,4 +1,4 @@
-"""A snapshot while its parts arrive."""
+"""Assembly of a snapshot that is received in chunks."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True, kw_only=True)
 class SnapshotAssembler:
-    """Parts of one snapshot of one leader.
+    """Collects the chunks of one snapshot from one leader.
 
     Attributes:
-        source: Term, leader and index of the snapshot that the parts belong to.
-        data: Bytes collected.
+        source: Term, leader id and index of the snapshot that the chunks belong to.
+        data: Bytes received so far.
     """
 
     source: tuple[int, str, int] = (0, "", 0)
     data: bytearray = field(default_factory=bytearray)
 
     def add(self, chunk: SnapshotChunk) -> bool:
-        """Adds the next part; refuses a part of another snapshot or out of order."""
+        """Adds the next chunk; returns False if it is out of order or belongs to another snapshot."""
         source = (chunk.term, chunk.leader, chunk.index)
         if chunk.offset == 0:
             self.source = source
--- a/src/hyssopway/agreement/state_machine.py
+++ b/src/hyssopway/agreement/state_machine.py
@@ -1,4 +1,4 @@
-"""What a member applies committed entries to."""
+"""Interface of the replicated state machine."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class StateMachine(Protocol):
-    """Deterministic state behind the log."""
+    """Deterministic state machine that committed entries are applied to."""
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
-        """Applies one committed entry."""
+        """Applies a committed entry; `data` is empty for entries without a command."""
         ...
 
     def encode_snapshot(self) -> bytes:
-        """Encodes the state."""
+        """Encodes the whole state."""
         ...
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces the state."""
+        """Replaces the state with an encoded one."""
         ...
 
 
--- a/src/hyssopway/agreement/storage_error.py
+++ b/src/hyssopway/agreement/storage_error.py
@@ -8,11 +8,11 @@
 
 
 class LogDamagedError(StorageError):
-    """A record in the middle of a file fails its checksum."""
+    """A file of the data folder is damaged or missing in a way that a torn write cannot explain."""
 
 
 class InitialiseRefusedError(StorageError):
-    """A new group is asked for while one with committed state exists."""
+    """Initialisation of a new group was requested, but a group with committed state exists."""
 
 
 __all__ = ["InitialiseRefusedError", "LogDamagedError", "StorageError"]
--- a/src/hyssopway/agreement/store.py
+++ b/src/hyssopway/agreement/store.py
@@ -1,4 +1,4 @@
-"""Data folder of a member."""
+"""Durable state of a member in its data folder."""
 
 from __future__ import annotations
 
@@ -25,15 +25,17 @@
 class Store:
     """Log, vote and snapshot of one member.
 
-    Entries are also held in memory. Writes are synced before they return; callers run them in a thread,
-    one at a time.
+    Entries are also kept in memory. Write methods block until the data is synced; callers run them in a thread, one
+    at a time.
 
     Attributes:
-        folder: The data folder.
+        folder: Path of the data folder.
         vote: Identity, term and vote.
         snapshot: Last snapshot.
-        entries: Entries behind the snapshot.
-        synced_index: Last index that is durable.
+        entries: Entries after the snapshot, durable or not.
+        log_file: File of the entries.
+        vote_file: File of the vote.
+        synced_index: Index of the last durable entry.
     """
 
     __slots__ = ("entries", "folder", "log_file", "snapshot", "synced_index", "vote", "vote_file")
@@ -49,12 +51,12 @@
 
     @property
     def member_id(self) -> str:
-        """Identity of the member."""
+        """Id of the member."""
         return self.vote.member_id
 
     @property
     def is_initialised(self) -> bool:
-        """Whether the folder already carries an identity."""
+        """Whether the folder already holds the identity of a member."""
         return self.vote_file.path.exists()
 
     @property
@@ -63,14 +65,14 @@
         return self.snapshot.index + len(self.entries)
 
     def open(self, *, daemon: str, initial: Configuration | None) -> None:
-        """Reads the folder or initialises an empty one.
+        """Loads the folder, or initialises an empty one.
 
         Args:
-            daemon: Name of the daemon.
+            daemon: Name of the daemon that hosts the member.
             initial: Configuration of a new group; None for a member that joins an existing one.
 
         Raises:
-            LogDamagedError: A file is damaged.
+            LogDamagedError: A file is damaged or missing.
             StorageError: The folder cannot be read or written.
         """
         try:
@@ -82,7 +84,7 @@
     def _open_files(self, *, daemon: str, initial: Configuration | None) -> None:
         raw_vote = self.vote_file.open()
         if raw_vote is None and any((self.folder / name).exists() for name in ("log", "snapshot")):
-            # A new identity on top of an old log could vote a second time in a term.
+            # With a new vote file the member could vote a second time in a term.
             raise LogDamagedError(f"{self.folder} holds a log without a vote file")
         if raw_vote is None:
             self._initialise(daemon=daemon, initial=initial)
@@ -93,13 +95,13 @@
             self.snapshot = Snapshot.decode(raw_snapshot)
         self.entries = self.log_file.open(first_index=self.snapshot.index + 1)
         if self.entries and self.entries[0].term < self.snapshot.term:
-            # An installed snapshot replaced these entries and the crash came before the log was rewritten.
+            # The process crashed between installing a snapshot and rewriting the log, so the entries are obsolete.
             self.entries = []
             self.log_file.rewrite(first_index=self.snapshot.index + 1, entries=[])
         self.synced_index = self.last_index
 
     def term_at(self, index: int) -> int | None:
-        """Returns the term at an index, or None when the log does not hold it."""
+        """Returns the term of the entry at an index, or None if neither log nor snapshot know it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -108,7 +110,7 @@
         return None
 
     def read_batch(self, *, start: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Returns entries from `start` on, at least one and then up to `max_bytes`."""
+        """Returns entries from index `start` on, up to `max_bytes` but at least one if any exists."""
         found: list[Entry] = []
         size = 0
         for position in range(start - self.snapshot.index - 1, len(self.entries)):
@@ -120,7 +122,7 @@
         return tuple(found)
 
     def configuration(self) -> Configuration:
-        """Returns the latest configuration in the log; it counts from when it is appended."""
+        """Returns the latest configuration, which takes effect when it is appended."""
         for entry in reversed(self.entries):
             if entry.kind is EntryKind.CONFIGURATION:
                 return Configuration.decode(entry.data)
@@ -128,33 +130,33 @@
         return Configuration.decode(raw) if raw else Configuration()
 
     def configuration_index(self) -> int:
-        """Returns the index of the latest configuration."""
+        """Returns the index of the latest configuration in the log, or else that of the snapshot."""
         for position in range(len(self.entries) - 1, -1, -1):
             if self.entries[position].kind is EntryKind.CONFIGURATION:
                 return self.snapshot.index + 1 + position
         return self.snapshot.index
 
     def configuration_at(self, index: int) -> bytes:
-        """Returns the encoded configuration that holds at an index."""
+        """Returns the encoded configuration in effect at an index."""
         for position in range(index - self.snapshot.index - 1, -1, -1):
             if self.entries[position].kind is EntryKind.CONFIGURATION:
                 return self.entries[position].data
         return self.snapshot.configuration or self.vote.initial
 
     def write_vote(self, *, term: int, voted_for: str) -> None:
-        """Makes term and vote durable."""
+        """Writes and syncs term and vote."""
         vote = Vote(member_id=self.vote.member_id, term=term, voted_for=voted_for, initial=self.vote.initial)
         self.vote_file.write(vote.encode())
         crash_point("vote-synced")
         self.vote = vote
 
     def write_entries(self, *, index: int, entries: Sequence[Entry]) -> None:
-        """Makes entries durable."""
+        """Writes and syncs entries, the first at `index`."""
         self.log_file.append(index=index, entries=entries)
         self.synced_index = index + len(entries) - 1
 
     def write_snapshot(self, snapshot: Snapshot) -> None:
-        """Makes a snapshot durable; `adopt_snapshot` must follow on the event loop."""
+        """Writes and syncs a snapshot and truncates the log; `adopt_snapshot` must follow on the event loop."""
         write_atomically(self.folder / "snapshot", snapshot.encode())
         crash_point("snapshot-written")
         kept = self._entries_after(snapshot)
@@ -162,7 +164,7 @@
         self.log_file.rewrite(first_index=snapshot.index + 1, entries=durable)
 
     def adopt_snapshot(self, snapshot: Snapshot) -> None:
-        """Drops the entries that a durable snapshot covers from memory."""
+        """Switches to a durable snapshot and drops the entries that it covers from memory."""
         kept = self._entries_after(snapshot)
         self.snapshot = snapshot
         self.entries = kept
--- a/src/hyssopway/agreement/timers.py
+++ b/src/hyssopway/agreement/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a member."""
+"""Timeouts and intervals of a member."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Timers:
-    """Durations in seconds.
+    """Timeouts and intervals, in seconds.
 
     Attributes:
-        heartbeat_s: Time between two messages to a silent follower.
-        election_min_s: Shortest silence after which a member starts an election.
-        election_max_s: Longest silence after which a member starts an election.
-        doubt_s: Silence after which a member that doubts its leader starts or joins an election; above the time
-            for which a leader may act after a quorum confirmed it.
-        call_s: Longest wait for an answer of another member; longer than a slow sync of its disk.
-        stall_s: How long a leader's own disk may hold up what a quorum of the others already holds.
-        suspend_s: How long a member whose disk failed or stalled leaves elections to the others.
+        heartbeat_s: Interval between heartbeats.
+        election_min_s: Lower bound of the randomised election timeout.
+        election_max_s: Upper bound of the randomised election timeout.
+        doubt_s: Time without a message from the leader after which a member that suspects the leader starts or joins
+            an election; longer than a leader may act after a quorum has confirmed it.
+        call_s: Timeout of a call to another member; longer than a slow sync of its disk.
+        stall_s: How long a leader's disk may lag behind a quorum of the other voters before the leader steps down.
+        suspend_s: How long a member does not campaign after its disk failed or stalled.
     """
 
     heartbeat_s: float = 0.1
--- a/src/hyssopway/agreement/transport.py
+++ b/src/hyssopway/agreement/transport.py
@@ -1,4 +1,4 @@
-"""Calls from one member to another."""
+"""Interface for calls between members."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Transport(Protocol):
-    """Sends messages to the member that a daemon carries.
+    """Sends messages to the member that a daemon hosts.
 
-    Every call raises `OSError` when the daemon cannot be reached in time.
+    Every call raises `OSError` if the daemon does not reply in time.
     """
 
     async def vote(self, *, daemon: str, request: VoteRequest, timeout_s: float) -> VoteReply:
-        """Asks for a vote."""
+        """Requests a vote or a pre-vote."""
         ...
 
     async def append(self, *, daemon: str, request: AppendRequest, timeout_s: float) -> AppendReply:
@@ -23,7 +23,7 @@
         ...
 
     async def install_snapshot(self, *, daemon: str, chunk: SnapshotChunk, timeout_s: float) -> AppendReply:
-        """Sends a part of a snapshot."""
+        """Sends a snapshot chunk."""
         ...
 
 
--- a/src/hyssopway/agreement/vote.py
+++ b/src/hyssopway/agreement/vote.py
@@ -1,4 +1,4 @@
-"""Term and vote of a member."""
+"""Identity, term and vote of a member."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Vote:
-    """What a member must remember across restarts besides its log.
+    """State that a member must keep across restarts besides its log.
 
     Attributes:
-        member_id: Identity of the member, made with its data folder.
+        member_id: Id of the member, created with its data folder.
         term: Current term.
-        voted_for: Candidate that got the vote of this term; empty when none.
-        initial: Encoded configuration that the group started with; empty for a later member.
+        voted_for: Id of the candidate voted for in this term; empty if none.
+        initial: Encoded initial configuration of the group; empty for a member that joined later.
     """
 
     member_id: str
@@ -24,12 +24,12 @@
     initial: bytes = b""
 
     def encode(self) -> bytes:
-        """Encodes the vote for its file."""
+        """Encodes the vote for the vote file."""
         return _ADAPTER.dump_json(self)
 
     @staticmethod
     def decode(data: bytes) -> Vote:
-        """Decodes a vote file."""
+        """Decodes the contents of a vote file."""
         return _ADAPTER.validate_json(data)
 
 
--- a/src/hyssopway/agreement/voting.py
+++ b/src/hyssopway/agreement/voting.py
@@ -1,4 +1,4 @@
-"""Answers to vote requests."""
+"""Handling of vote requests."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 async def answer_vote(*, member: Member, request: VoteRequest) -> VoteReply:
-    """Grants or refuses a vote or a pre-vote."""
+    """Handles a request for a vote or a pre-vote."""
     if request.target != member.member_id:
-        # The voter lost its disk. Counting the vote of its empty successor could elect a leader that lacks
-        # committed entries.
+        # Addressed to a former member of this daemon that lost its disk. A vote with an empty log in its name could
+        # elect a leader that lacks committed entries.
         return VoteReply(term=member.term, granted=False)
     async with member.lock:
         member.check_running()
         if _has_live_leader(member):
-            # A member that was cut off must not disturb a group whose leader works.
+            # A member that was partitioned must not disrupt a group with a live leader.
             return VoteReply(term=member.term, granted=False)
         if request.pre_vote:
-            # The candidate that has the vote may lead already, and its first message be on its way.
+            # The candidate that got the last vote may already lead, with its first message still in transit.
             has_recent_vote = member.clock() - member.vote_granted_at < member.timers.doubt_s
             granted = not has_recent_vote and request.term > member.term and _is_up_to_date(member, request)
             return VoteReply(term=member.term, granted=granted)
@@ -53,7 +53,7 @@
     if member.is_leader:
         return now - member.quorum_acked_at() < timers.election_min_s
     if not member.leader_id:
-        # The process before this one may have heard a leader that still acts.
+        # Before a restart, this member may have confirmed a leader that may still act.
         return now - member.started_at < timers.doubt_s
     is_suspected = member.leader_suspicion.is_active(heard_at=member.heard_at)
     return now - member.heard_at < (timers.doubt_s if is_suspected else timers.election_min_s)
