--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.job import JobScheduler, LostHomes, UnorderedRuns, UsageBook
+from hyssopway.job import HomeMonitor, JobScheduler, UnorderedRuns, UsageBook
 from hyssopway.worker import WorkerSessions
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
             book=self.usage,
             clock=group.clock,
         )
-        self.lost_homes = LostHomes(
+        self.lost_homes = HomeMonitor(
             own_name=own_name,
             replica=group.replica,
             submitter=group.submitter,
@@ -63,7 +63,7 @@
             replica=group.replica,
             member=group.member,
             proposer=group.proposer,
-            lost_homes=self.lost_homes,
+            home_monitor=self.lost_homes,
             confirmed_homes={peer.name for peer in group.settings.peers if peer.member},
             covered=calls.covered,
             withheld=calls.withheld,
--- a/src/hyssopway/job/lost_homes.py
+++ b/src/hyssopway/job/home_monitor.py
@@ -37,7 +37,7 @@
 WATCHED = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
 
 
-class LostHomes:
+class HomeMonitor:
     """Watches the contacts of homes while this daemon leads.
 
     Attributes:
@@ -177,4 +177,4 @@
     )
 
 
-__all__ = ["MARGIN_S", "LostHomes"]
+__all__ = ["MARGIN_S", "HomeMonitor"]
--- a/src/hyssopway/job/unordered_runs.py
+++ b/src/hyssopway/job/unordered_runs.py
@@ -19,7 +19,7 @@
     from hyssopway.control.record import Run
     from hyssopway.replica import Proposer, Replica
 
-    from .lost_homes import LostHomes
+    from .home_monitor import HomeMonitor
 
 CHECK_S = 0.25
 PROPOSE_TIMEOUT_S = 2.0
@@ -36,7 +36,7 @@
         replica: Agreed state.
         member: Control member of this daemon.
         proposer: Way into this daemon's own log; an end may not pass through another leader.
-        lost_homes: Tells which homes are out of contact.
+        home_monitor: Tells which homes are out of contact.
         confirmed_homes: Homes that ask the leader itself for confirmations.
         covered: Largest index that this daemon confirmed to each home as leader.
         withheld: Ends that are not decided yet, by home.
@@ -46,7 +46,7 @@
     __slots__ = (
         "confirmed_homes",
         "covered",
-        "lost_homes",
+        "home_monitor",
         "member",
         "proposer",
         "replica",
@@ -60,7 +60,7 @@
         replica: Replica,
         member: Member,
         proposer: Proposer,
-        lost_homes: LostHomes,
+        home_monitor: HomeMonitor,
         confirmed_homes: AbstractSet[str],
         covered: dict[str, int],
         withheld: dict[str, list[EndRun]],
@@ -68,7 +68,7 @@
         self.replica = replica
         self.member = member
         self.proposer = proposer
-        self.lost_homes = lost_homes
+        self.home_monitor = home_monitor
         self.confirmed_homes = confirmed_homes
         self.covered = covered
         self.withheld = withheld
@@ -89,7 +89,7 @@
             self.term = term
         if not self.member.is_leader:
             return
-        for home in self.lost_homes.find_silent() & self.confirmed_homes:
+        for home in self.home_monitor.find_silent() & self.confirmed_homes:
             if home not in self.withheld and (ends := self._find_ends(home)):
                 self.withheld[home] = ends
         await asyncio.gather(*(self._settle(home, term=term) for home in list(self.withheld)))
@@ -116,7 +116,7 @@
         return False
 
     def _find_ends(self, home: str) -> list[EndRun]:
-        silent_s = self.lost_homes.silent_s(home)
+        silent_s = self.home_monitor.silent_s(home)
         confirmed = max(self.covered.get(home, 0), self.member.term_start)
         state = self.replica.state
         return [
--- a/tests/job/test_lost_homes.py
+++ b/tests/job/test_home_monitor.py
@@ -6,8 +6,8 @@
 
 from hyssopway.control.command import PromoteDocument, TrialDocument
 from hyssopway.control.record import JobStatus, VmState
-from hyssopway.job import LostHomes
-from hyssopway.job.lost_homes import DOWN_S
+from hyssopway.job import HomeMonitor
+from hyssopway.job.home_monitor import DOWN_S
 from states import DOCUMENT, ManualClock, prepare
 
 # cut_off_run_s of the default policy, the worker's lease and the margin.
@@ -32,7 +32,7 @@
     submitter.start("job", "vm")
     clock = ManualClock(now=0.0)
     contacts: dict[str, float] = {}
-    homes = LostHomes(
+    homes = HomeMonitor(
         own_name="h1",
         replica=submitter.replica,
         submitter=submitter,  # type: ignore[arg-type]
@@ -61,7 +61,7 @@
     submitter.accept("job")
     submitter.start("job", "vm")
     clock = ManualClock(now=0.0)
-    homes = LostHomes(
+    homes = HomeMonitor(
         own_name="h1",
         replica=submitter.replica,
         submitter=submitter,  # type: ignore[arg-type]
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_unordered_runs.py
@@ -10,8 +10,8 @@
 
 from hyssopway.control import seal_command
 from hyssopway.control.record import JobStatus
-from hyssopway.job import LostHomes, UnorderedRuns
-from hyssopway.job.lost_homes import SILENT_S
+from hyssopway.job import HomeMonitor, UnorderedRuns
+from hyssopway.job.home_monitor import SILENT_S
 from hyssopway.result import Failure, ResultCode
 from states import LocalSubmitter, ManualClock, prepare
 
@@ -57,7 +57,7 @@
         self.submitter.accept("job")
         self.submitter.start("job", "vm")
         self.proposer = FakeProposer(self.submitter)
-        self.homes = LostHomes(
+        self.homes = HomeMonitor(
             own_name="h1",
             replica=self.submitter.replica,
             submitter=self.submitter,  # type: ignore[arg-type]
@@ -69,7 +69,7 @@
             replica=self.submitter.replica,
             member=self.member,  # type: ignore[arg-type]
             proposer=self.proposer,  # type: ignore[arg-type]
-            lost_homes=self.homes,
+            home_monitor=self.homes,
             confirmed_homes={"h2"},
             covered={},
             withheld={},
