--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.job import HomeMonitor, JobScheduler, UnorderedRuns, UsageBook
+from hyssopway.job import HomeMonitor, JobScheduler, RunRevoker, UsageBook
 from hyssopway.worker import WorkerSessions
 
 if TYPE_CHECKING:
@@ -56,17 +56,17 @@
         self.scheduler.planner.find_silent = self.lost_homes.find_silent
         self.unordered_runs = self._build_unordered_runs(group=group, calls=calls)
 
-    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> UnorderedRuns | None:
+    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> RunRevoker | None:
         if group.member is None or group.proposer is None:
             return None
-        return UnorderedRuns(
+        return RunRevoker(
             replica=group.replica,
             member=group.member,
             proposer=group.proposer,
             home_monitor=self.lost_homes,
             confirmed_homes={peer.name for peer in group.settings.peers if peer.member},
-            covered=calls.covered,
-            withheld=calls.withheld,
+            confirmed_indexes=calls.covered,
+            undecided_ends=calls.withheld,
         )
 
 
--- a/src/hyssopway/job/unordered_runs.py
+++ b/src/hyssopway/job/run_revoker.py
@@ -25,7 +25,7 @@
 PROPOSE_TIMEOUT_S = 2.0
 
 
-class UnorderedRuns:
+class RunRevoker:
     """Ends runs that were placed on workers of a home after its last confirmation.
 
     A home with a log orders a run only after a leader confirmed the run's index to it. While ends are
@@ -38,20 +38,20 @@
         proposer: Way into this daemon's own log; an end may not pass through another leader.
         home_monitor: Tells which homes are out of contact.
         confirmed_homes: Homes that ask the leader itself for confirmations.
-        covered: Largest index that this daemon confirmed to each home as leader.
-        withheld: Ends that are not decided yet, by home.
+        confirmed_indexes: Largest index that this daemon confirmed to each home as leader.
+        undecided_ends: Ends that are not decided yet, by home.
         term: Term that the ends were found in.
     """
 
     __slots__ = (
         "confirmed_homes",
-        "covered",
+        "confirmed_indexes",
         "home_monitor",
         "member",
         "proposer",
         "replica",
         "term",
-        "withheld",
+        "undecided_ends",
     )
 
     def __init__(
@@ -62,16 +62,16 @@
         proposer: Proposer,
         home_monitor: HomeMonitor,
         confirmed_homes: AbstractSet[str],
-        covered: dict[str, int],
-        withheld: dict[str, list[EndRun]],
+        confirmed_indexes: dict[str, int],
+        undecided_ends: dict[str, list[EndRun]],
     ) -> None:
         self.replica = replica
         self.member = member
         self.proposer = proposer
         self.home_monitor = home_monitor
         self.confirmed_homes = confirmed_homes
-        self.covered = covered
-        self.withheld = withheld
+        self.confirmed_indexes = confirmed_indexes
+        self.undecided_ends = undecided_ends
         self.term = 0
 
     async def run(self) -> None:
@@ -85,24 +85,24 @@
         term = self.member.term
         if not self.member.is_leader or term != self.term:
             # Another leader may have confirmed these runs in between.
-            self.withheld.clear()
+            self.undecided_ends.clear()
             self.term = term
         if not self.member.is_leader:
             return
         for home in self.home_monitor.find_silent() & self.confirmed_homes:
-            if home not in self.withheld and (ends := self._find_ends(home)):
-                self.withheld[home] = ends
-        await asyncio.gather(*(self._settle(home, term=term) for home in list(self.withheld)))
+            if home not in self.undecided_ends and (ends := self._find_ends(home)):
+                self.undecided_ends[home] = ends
+        await asyncio.gather(*(self._settle(home, term=term) for home in list(self.undecided_ends)))
 
     async def _settle(self, home: str, *, term: int) -> None:
         """Proposes ends until each is applied or refused; one of unknown outcome may still take effect."""
-        ends = [end for end in self.withheld[home] if self._is_open(end)]
+        ends = [end for end in self.undecided_ends[home] if self._is_open(end)]
         decided = await asyncio.gather(*(self._propose(end, term=term) for end in ends))
         left = [end for end, done in zip(ends, decided, strict=True) if not done]
         if left:
-            self.withheld[home] = left
+            self.undecided_ends[home] = left
         else:
-            self.withheld.pop(home, None)
+            self.undecided_ends.pop(home, None)
 
     async def _propose(self, end: EndRun, *, term: int) -> bool:
         if self.member.term != term:
@@ -117,7 +117,7 @@
 
     def _find_ends(self, home: str) -> list[EndRun]:
         silent_s = self.home_monitor.silent_s(home)
-        confirmed = max(self.covered.get(home, 0), self.member.term_start)
+        confirmed = max(self.confirmed_indexes.get(home, 0), self.member.term_start)
         state = self.replica.state
         return [
             EndRun(
@@ -142,4 +142,4 @@
         return run is not None and run.epoch == end.epoch
 
 
-__all__ = ["UnorderedRuns"]
+__all__ = ["RunRevoker"]
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_run_revoker.py
@@ -10,7 +10,7 @@
 
 from hyssopway.control import seal_command
 from hyssopway.control.record import JobStatus
-from hyssopway.job import HomeMonitor, UnorderedRuns
+from hyssopway.job import HomeMonitor, RunRevoker
 from hyssopway.job.home_monitor import SILENT_S
 from hyssopway.result import Failure, ResultCode
 from states import LocalSubmitter, ManualClock, prepare
@@ -65,14 +65,14 @@
             leads=lambda: self.member.is_leader,
             clock=self.clock,
         )
-        self.runs = UnorderedRuns(
+        self.runs = RunRevoker(
             replica=self.submitter.replica,
             member=self.member,  # type: ignore[arg-type]
             proposer=self.proposer,  # type: ignore[arg-type]
             home_monitor=self.homes,
             confirmed_homes={"h2"},
-            covered={},
-            withheld={},
+            confirmed_indexes={},
+            undecided_ends={},
         )
 
     @property
@@ -105,9 +105,9 @@
     await world.check()
     match case:
         case "confirmed before the start":
-            world.runs.covered["h2"] = started - 1
+            world.runs.confirmed_indexes["h2"] = started - 1
         case "confirmed with the start":
-            world.runs.covered["h2"] = started
+            world.runs.confirmed_indexes["h2"] = started
         case "started in a former term":
             world.member.term_start = started + 1
         case "worker moved to another home":
@@ -121,7 +121,7 @@
             world.member.is_leader = False
     await world.check(after_s=SILENT_S + 0.1)
     assert (world.status is JobStatus.PENDING) is taken_back
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
 
 
 async def test_confirmations_are_withheld_until_the_end_is_decided():
@@ -130,12 +130,12 @@
     world.proposer.unknown = True
     await world.check()
     await world.check(after_s=SILENT_S + 0.1)
-    assert [end.job_id for end in world.runs.withheld["h2"]] == ["job"]
+    assert [end.job_id for end in world.runs.undecided_ends["h2"]] == ["job"]
     world.homes.contacts["h2"] = world.clock.now
     world.proposer.unknown = False
     await world.check()
     assert world.status is JobStatus.PENDING
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
 
 
 async def test_undecided_ends_of_a_former_term_are_dropped():
@@ -148,4 +148,4 @@
     world.member.term, world.member.term_start = 3, 1_000
     await world.check()
     assert world.status is JobStatus.RUNNING
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
