--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.job import HomeMonitor, JobScheduler, RunRevoker, UsageBook
+from hyssopway.job import HomeMonitor, JobScheduler, RunRevoker, UsageReports
 from hyssopway.worker import WorkerSessions
 
 if TYPE_CHECKING:
@@ -36,13 +36,13 @@
             clock=group.clock,
             count_requests=fleet.vm_requests.count,
         )
-        self.usage = UsageBook()
+        self.usage = UsageReports()
         self.scheduler = JobScheduler(
             replica=group.replica,
             submitter=group.submitter,
             leads=group.leads,
             now_ms=group.now_ms,
-            book=self.usage,
+            usage_reports=self.usage,
             clock=group.clock,
         )
         self.lost_homes = HomeMonitor(
--- a/src/hyssopway/job/planner.py
+++ b/src/hyssopway/job/planner.py
@@ -23,7 +23,7 @@
     from hyssopway.control.run_end import RunEnd
 
     from .pending_queues import GroupKey
-    from .usage_book import UsageBook
+    from .usage_reports import UsageReports
 
 # One round may not hold up the next urgent job for long; at 0.05 s a round this is far above the
 # 500 starts a second that the agreed state is designed for.
@@ -43,7 +43,7 @@
         view: Free capacity.
         queues: Pending jobs.
         estimates: What kinds of tasks really use.
-        book: Last reports of workers.
+        usage_reports: Last reports of workers.
         usage: What each team holds, with the starts of this round.
         total: Capacity of all VMs that take work.
         ends: Runs that ended since the last round.
@@ -55,7 +55,6 @@
     __slots__ = (
         "avoid",
         "blocked",
-        "book",
         "clock",
         "ends",
         "estimates",
@@ -65,12 +64,13 @@
         "state",
         "total",
         "usage",
+        "usage_reports",
         "view",
     )
 
-    def __init__(self, *, state: ControlState, book: UsageBook, clock: Clock) -> None:
+    def __init__(self, *, state: ControlState, usage_reports: UsageReports, clock: Clock) -> None:
         self.state = state
-        self.book = book
+        self.usage_reports = usage_reports
         self.clock = clock
         self.view = FleetView(tables=state.tables)
         self.queues = PendingQueues()
@@ -90,7 +90,7 @@
             self._rebuild(state, now_ms=now_ms)
         self.ends = changes.ends
         for end in changes.ends:
-            task = self.book.find(vm=end.vm, job_id=end.job_id, epoch=end.epoch)
+            task = self.usage_reports.find(vm=end.vm, job_id=end.job_id, epoch=end.epoch)
             if task is not None and end.outcome == "done":
                 self.estimates.observe(
                     team=end.team, task_kind=end.task_kind, usage=task.usage, ran_s=task.ran_s
--- a/src/hyssopway/job/scheduler.py
+++ b/src/hyssopway/job/scheduler.py
@@ -20,7 +20,7 @@
     from hyssopway.clock import Clock
     from hyssopway.replica import Replica, Submitter
 
-    from .usage_book import UsageBook
+    from .usage_reports import UsageReports
 
 Proposal = StartRun | RejectJob | ReclaimRun | ChangeVm
 
@@ -50,14 +50,14 @@
         submitter: Submitter,
         leads: Callable[[], bool],
         now_ms: Callable[[], int],
-        book: UsageBook,
+        usage_reports: UsageReports,
         clock: Clock,
     ) -> None:
         self.replica = replica
         self.submitter = submitter
         self.leads = leads
         self.now_ms = now_ms
-        self.planner = Planner(state=replica.state, book=book, clock=clock)
+        self.planner = Planner(state=replica.state, usage_reports=usage_reports, clock=clock)
         self.quarantine = Quarantine(planner=self.planner)
         self.planner.avoid = self.quarantine.avoid
         self.reclaimer = Reclaimer(planner=self.planner)
--- a/src/hyssopway/job/usage_book.py
+++ b/src/hyssopway/job/usage_reports.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class UsageBook:
+class UsageReports:
     """Soft state of the leader; losing it costs only efficiency.
 
     Attributes:
@@ -45,4 +45,4 @@
         )
 
 
-__all__ = ["TaskUsage", "UsageBook"]
+__all__ = ["TaskUsage", "UsageReports"]
--- a/src/hyssopway_standins/measure/job_world.py
+++ b/src/hyssopway_standins/measure/job_world.py
@@ -22,7 +22,7 @@
 )
 from hyssopway.control.record import Job, JobSpec, ReclaimAction, RunOutcome
 from hyssopway.document import Resources
-from hyssopway.job import JobScheduler, UsageBook
+from hyssopway.job import JobScheduler, UsageReports
 from hyssopway.replica import Replica
 
 if TYPE_CHECKING:
@@ -96,7 +96,7 @@
             submitter=self,  # type: ignore[arg-type]
             leads=lambda: True,
             now_ms=self.now_ms,
-            book=UsageBook(),
+            usage_reports=UsageReports(),
             clock=self.clock,
         )
 
--- a/tests/job/conftest.py
+++ b/tests/job/conftest.py
@@ -8,7 +8,7 @@
 
 from hyssopway.control.command import EndRun
 from hyssopway.control.record import RunOutcome
-from hyssopway.job import JobScheduler, UsageBook
+from hyssopway.job import JobScheduler, UsageReports
 from states import ManualClock, prepare
 
 if TYPE_CHECKING:
@@ -21,13 +21,13 @@
     def __init__(self) -> None:
         self.submitter = prepare()
         self.clock = ManualClock()
-        self.book = UsageBook()
+        self.usage_reports = UsageReports()
         self.scheduler = JobScheduler(
             now_ms=self.submitter.now_ms,
             replica=self.submitter.replica,
             submitter=self.submitter,  # type: ignore[arg-type]
             leads=lambda: True,
-            book=self.book,
+            usage_reports=self.usage_reports,
             clock=self.clock,
         )
 
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -88,7 +88,7 @@
         leader.submitter.accept(f"j{number}", team="blue", resources=HALF)
         await leader.round()
         usage = TaskUsage(job_id=f"j{number}", epoch=1, usage=Resources(cores=2, memory_gb=4), ran_s=5)
-        leader.book.record(vm="vm", tasks=[usage])
+        leader.usage_reports.record(vm="vm", tasks=[usage])
         leader.end(f"j{number}")
     for number in range(4):
         leader.submitter.accept(f"k{number}", team="blue", resources=HALF)
