--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -118,7 +118,7 @@
         # An answer after the message would look like a new start of this daemon.
         for topic in (SUMMARY_TOPIC, VM_REQUESTS_TOPIC):
             self.calls.exchanges.pop(topic)
-        await self.fleet.vm_requests.say_stopped(self.settings.name)
+        await self.fleet.vm_requests.announce_stop(self.settings.name)
         for task in self.tasks:
             task.cancel()
         self.requests.router.close()
--- a/src/hyssopway/daemon/exchanges.py
+++ b/src/hyssopway/daemon/exchanges.py
@@ -26,8 +26,8 @@
         LIST_TOPIC: daemon.group.members.answer_list,
         CHANGE_TOPIC: daemon.group.members.answer_change,
         GRANTS_TOPIC: daemon.requests.collector.own_grants,
-        VM_REQUESTS_TOPIC: daemon.fleet.vm_requests.own,
-        ENTRY_STOPPED_TOPIC: daemon.fleet.vm_requests.note_stopped,
+        VM_REQUESTS_TOPIC: daemon.fleet.vm_requests.build_report,
+        ENTRY_STOPPED_TOPIC: daemon.fleet.vm_requests.record_stop,
     }
 
 
--- a/src/hyssopway/daemon/fleet_parts.py
+++ b/src/hyssopway/daemon/fleet_parts.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.fleet import FleetController, Reboots, VmRequests
+from hyssopway.fleet import FleetController, Reboots, VmRequestCounter
 from hyssopway.platform import PlatformClient
 
 if TYPE_CHECKING:
@@ -29,7 +29,7 @@
         self.group = group
         self.requests = requests
         self.platform: PlatformClient | None = None
-        self.vm_requests = VmRequests(
+        self.vm_requests = VmRequestCounter(
             ledger=requests.ledger,
             router=requests.router,
             peers=group.peers,
--- a/src/hyssopway/fleet/__init__.py
+++ b/src/hyssopway/fleet/__init__.py
@@ -4,6 +4,6 @@
 
 from .controller import FleetController
 from .reboots import Reboots
-from .vm_requests import ENTRY_STOPPED_TOPIC, VM_REQUESTS_TOPIC, VmRequests
+from .vm_request_counter import ENTRY_STOPPED_TOPIC, VM_REQUESTS_TOPIC, VmRequestCounter
 
-__all__ = ["ENTRY_STOPPED_TOPIC", "VM_REQUESTS_TOPIC", "FleetController", "Reboots", "VmRequests"]
+__all__ = ["ENTRY_STOPPED_TOPIC", "VM_REQUESTS_TOPIC", "FleetController", "Reboots", "VmRequestCounter"]
--- a/src/hyssopway/fleet/vm_requests.py
+++ b/src/hyssopway/fleet/vm_request_counter.py
@@ -33,7 +33,7 @@
 LEFT_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S + REPORT_AGE_S
 
 
-class VmRequests:
+class VmRequestCounter:
     """Asks all entries, because any of them may send to an endpoint of the VM.
 
     Attributes:
@@ -77,7 +77,7 @@
         asked_at = self.ledger.clock()
         names = list(self.heard_at)
         answers = await asyncio.gather(*(self._ask(name, vm=vm) for name in names))
-        known: list[dict[str, Any]] = [self.own(vm)]
+        known: list[dict[str, Any]] = [self.build_report(vm)]
         for name, answer in zip(names, answers, strict=True):
             if answer is not None:
                 self.heard_at[name] = asked_at
@@ -97,7 +97,7 @@
             return None
         return sum(int(answer["held"]) + int(answer["granted"]) for answer in known)
 
-    def own(self, vm: str) -> dict[str, Any]:
+    def build_report(self, vm: str) -> dict[str, Any]:
         """Returns what this daemon knows of the VM's endpoints and of the other entries."""
         now = self.ledger.clock()
         known = self.replica.state.tables.vms.get(vm)
@@ -123,7 +123,7 @@
         }
         return max(self.limits.values(), default=0.0)
 
-    async def say_stopped(self, own_name: str) -> None:
+    async def announce_stop(self, own_name: str) -> None:
         """Tells the other entries that this one has finished, so that no drain waits for it."""
         data = to_json(own_name)
         calls = (
@@ -132,8 +132,8 @@
         )
         await asyncio.gather(*calls, return_exceptions=True)
 
-    def note_stopped(self, name: str) -> bool:
-        """Takes what `say_stopped` sent."""
+    def record_stop(self, name: str) -> bool:
+        """Takes what `announce_stop` sent."""
         self.stopped_at[name] = self.ledger.clock()
         return True
 
@@ -175,4 +175,4 @@
             return 0.0  # no daemon can have it in force
 
 
-__all__ = ["ENTRY_STOPPED_TOPIC", "LAST_START_S", "VM_REQUESTS_TOPIC", "VmRequests"]
+__all__ = ["ENTRY_STOPPED_TOPIC", "LAST_START_S", "VM_REQUESTS_TOPIC", "VmRequestCounter"]
--- a/tests/fleet/test_vm_requests.py
+++ b/tests/fleet/test_vm_request_counter.py
@@ -9,8 +9,8 @@
 from pydantic_core import to_json
 
 from hyssopway.control.record import VmState
-from hyssopway.fleet import VmRequests
-from hyssopway.fleet.vm_requests import LAST_START_S, LEFT_S
+from hyssopway.fleet import VmRequestCounter
+from hyssopway.fleet.vm_request_counter import LAST_START_S, LEFT_S
 from hyssopway.peer import PeerUnreachableError
 from hyssopway_standins.fleet import EXAMPLES
 
@@ -47,7 +47,7 @@
     ledger: Any = SimpleNamespace(clock=lambda: time.now, grants={})
     replica: Any = SimpleNamespace(state=SimpleNamespace(tables=tables))
     peers: Any = Peers()
-    requests = VmRequests(ledger=ledger, router=router, peers=peers, replica=replica)
+    requests = VmRequestCounter(ledger=ledger, router=router, peers=peers, replica=replica)
     return SimpleNamespace(time=time, tables=tables, peers=peers, requests=requests, others=others)
 
 
@@ -102,7 +102,7 @@
 
 async def test_stopped_entry_blocks_no_drain_until_it_is_heard_again(world):
     """Guards against drains that wait for a planned stop, and a stop that counts after a new start."""
-    world.requests.note_stopped("b")
+    world.requests.record_stop("b")
     world.peers.answers["b"] = None
     assert await world.requests.count("vm") == 0
     world.time.now += 10.0
