--- a/src/hyssopway/daemon/fleet_parts.py
+++ b/src/hyssopway/daemon/fleet_parts.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.fleet import FleetController, Reboots, VmRequestCounter
+from hyssopway.fleet import FleetController, Rebooter, VmRequestCounter
 from hyssopway.platform import PlatformClient
 
 if TYPE_CHECKING:
@@ -48,7 +48,7 @@
         url = self.group.settings.platform_url
         if url is not None:
             self.platform = PlatformClient.open(url=url)
-            self.controller.reboots = Reboots(platform=self.platform)
+            self.controller.rebooter = Rebooter(platform=self.platform)
 
     async def close(self) -> None:
         """Closes the client of the platform."""
--- a/src/hyssopway/fleet/__init__.py
+++ b/src/hyssopway/fleet/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .controller import FleetController
-from .reboots import Reboots
+from .rebooter import Rebooter
 from .vm_request_counter import ENTRY_STOPPED_TOPIC, VM_REQUESTS_TOPIC, VmRequestCounter
 
-__all__ = ["ENTRY_STOPPED_TOPIC", "VM_REQUESTS_TOPIC", "FleetController", "Reboots", "VmRequestCounter"]
+__all__ = ["ENTRY_STOPPED_TOPIC", "VM_REQUESTS_TOPIC", "FleetController", "Rebooter", "VmRequestCounter"]
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -33,7 +33,7 @@
     from hyssopway.control.command import ReturnPermit
     from hyssopway.replica import Replica, Submitter
 
-    from .reboots import Reboots
+    from .rebooter import Rebooter
 
 ROUND_S = 0.5
 SUBMIT_TIMEOUT_S = 2.0
@@ -48,7 +48,7 @@
         replica: Agreed state.
         submitter: Way to the agreed state.
         leads: Tells whether this daemon leads.
-        reboots: Has the platform reboot VMs; None without a platform, and waves do not start then.
+        rebooter: Has the platform reboot VMs; None without a platform, and waves do not start then.
         clock: Monotonic seconds.
         now_ms: Returns agreed time.
         asking: Questions about drains whose record is on its way, by VM and start.
@@ -66,7 +66,7 @@
         "late",
         "leads",
         "now_ms",
-        "reboots",
+        "rebooter",
         "replica",
         "stepped_ms",
         "submitter",
@@ -80,14 +80,14 @@
         leads: Callable[[], bool],
         clock: Clock,
         now_ms: Callable[[], int],
-        reboots: Reboots | None = None,
+        rebooter: Rebooter | None = None,
     ) -> None:
         self.replica = replica
         self.submitter = submitter
         self.leads = leads
         self.clock = clock
         self.now_ms = now_ms
-        self.reboots = reboots
+        self.rebooter = rebooter
         self.demand = Demand()
         self.stepped_ms: dict[str, int] = {}
         self.asking: set[tuple[str, int]] = set()
@@ -115,15 +115,15 @@
         self._report_broken()
 
     def _rest(self) -> None:
-        if self.reboots is not None:
-            self.reboots.stop()
+        if self.rebooter is not None:
+            self.rebooter.stop()
 
     async def _advance_waves(self) -> None:
-        if self.reboots is None:
+        if self.rebooter is None:
             return
         state = self.replica.state
-        self.reboots.follow(state)
-        steps = decide_waves(state, now_ms=self.now_ms(), returned=self.reboots.returned)
+        self.rebooter.reconcile(state)
+        steps = decide_waves(state, now_ms=self.now_ms(), returned=self.rebooter.returned)
         await asyncio.gather(*(self._submit_step(step) for step in steps))
 
     async def _advance_zones(self) -> None:
--- a/src/hyssopway/fleet/reboots.py
+++ b/src/hyssopway/fleet/rebooter.py
@@ -16,7 +16,7 @@
 OPERATION_TIMEOUT_S = 60.0
 
 
-class Reboots:
+class Rebooter:
     """One task for each VM that is rebooting.
 
     Operation ids come from wave and VM, so a new leader asks for the same operations again and the
@@ -35,7 +35,7 @@
         self.tasks: dict[tuple[str, str], asyncio.Task[None]] = {}
         self.returned: set[tuple[str, str]] = set()
 
-    def follow(self, state: ControlState) -> None:
+    def reconcile(self, state: ControlState) -> None:
         """Starts the tasks of VMs that are rebooting by now and drops those of others."""
         wanted = {
             (wave.wave_id, vm)
@@ -79,4 +79,4 @@
         log_event(Event.TASK_FAILED, task=task.get_name(), error=repr(error))
 
 
-__all__ = ["Reboots"]
+__all__ = ["Rebooter"]
--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -321,14 +321,14 @@
     )
     replica: Any = SimpleNamespace(state=driver.agreed.state)
     submitter: Any = SimpleNamespace(submit=refuse)
-    reboots: Any = SimpleNamespace(follow=lambda _: None, returned=())
+    rebooter: Any = SimpleNamespace(reconcile=lambda _: None, returned=())
     controller = FleetController(
         replica=replica,
         submitter=submitter,
         leads=lambda: True,
         clock=time.monotonic,
         now_ms=lambda: driver.agreed.now_ms,
-        reboots=reboots,
+        rebooter=rebooter,
     )
     longest_s = 0.0
     for _ in range(5):
--- a/tests/fleet/test_reboots.py
+++ b/tests/fleet/test_rebooter.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from hyssopway.control.record import WaveVmStatus
-from hyssopway.fleet.reboots import Reboots
+from hyssopway.fleet.rebooter import Rebooter
 from hyssopway_standins.agreed import AgreedStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 
@@ -34,10 +34,10 @@
     """Guards against a wave that waits without a word, because the task of its reboot fails each time."""
     lines = []
     sink = logger.add(lines.append, level="ERROR")
-    reboots = Reboots(platform=BrokenClient())
+    rebooter = Rebooter(platform=BrokenClient())
     for _ in range(3):
-        reboots.follow(rebooting)
-        await asyncio.gather(*reboots.tasks.values(), return_exceptions=True)
+        rebooter.reconcile(rebooting)
+        await asyncio.gather(*rebooter.tasks.values(), return_exceptions=True)
     logger.remove(sink)
     assert len([line for line in lines if "task reboot" in line and "sending" in line]) == 2
-    assert len(reboots.tasks) == 1
+    assert len(rebooter.tasks) == 1
