--- a/src/hyssopway/daemon/background_tasks.py
+++ b/src/hyssopway/daemon/background_tasks.py
@@ -8,7 +8,7 @@
 
 from hyssopway.agreement import run_elections, run_replication
 from hyssopway.event import Event, log_event
-from hyssopway.worker import watch_silence
+from hyssopway.worker import monitor_leases
 
 from .load_push import push_loads
 
@@ -38,7 +38,7 @@
     return {
         "expire": daemon.requests.expire,
         "loads": lambda: push_loads(daemon),
-        "silence": lambda: watch_silence(daemon.jobs.sessions),
+        "silence": lambda: monitor_leases(daemon.jobs.sessions),
         "credits": daemon.requests.router.run,
         "summaries": daemon.requests.homes.run,
         "applied_times": daemon.group.sample_index,
--- a/src/hyssopway/worker/__init__.py
+++ b/src/hyssopway/worker/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from .lease_monitor import monitor_leases, report_expired_leases
 from .messages import EndedRun, RunningTask, StartOrder, SyncReply, SyncRequest
 from .sessions import WORKER_LEASE_S, WorkerSessions
-from .silence import report_silent, watch_silence
 
 __all__ = [
     "WORKER_LEASE_S",
@@ -14,6 +14,6 @@
     "SyncReply",
     "SyncRequest",
     "WorkerSessions",
-    "report_silent",
-    "watch_silence",
+    "monitor_leases",
+    "report_expired_leases",
 ]
--- a/src/hyssopway/worker/silence.py
+++ b/src/hyssopway/worker/lease_monitor.py
@@ -23,14 +23,14 @@
 WATCHED = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
 
 
-async def watch_silence(sessions: WorkerSessions) -> None:
+async def monitor_leases(sessions: WorkerSessions) -> None:
     """Reports silent workers for as long as the daemon runs."""
     while True:
-        await report_silent(sessions)
+        await report_expired_leases(sessions)
         await asyncio.sleep(CHECK_S)
 
 
-async def report_silent(sessions: WorkerSessions) -> None:
+async def report_expired_leases(sessions: WorkerSessions) -> None:
     """Reports each worker whose every lease granted here has ended."""
     now = sessions.clock()
     silent = [session for session in sessions.sessions.values() if now > session.lease_until + LEASE_MARGIN_S]
@@ -62,4 +62,4 @@
         del sessions.sessions[vm.name]
 
 
-__all__ = ["report_silent", "watch_silence"]
+__all__ = ["monitor_leases", "report_expired_leases"]
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -18,7 +18,14 @@
 )
 from hyssopway.replica import Replica
 from hyssopway.result import ResultCode
-from hyssopway.worker import EndedRun, RunningTask, SyncReply, SyncRequest, WorkerSessions, report_silent
+from hyssopway.worker import (
+    EndedRun,
+    RunningTask,
+    SyncReply,
+    SyncRequest,
+    WorkerSessions,
+    report_expired_leases,
+)
 from states import CAPACITY, LocalSubmitter, ManualClock, fresh, prepare
 
 if TYPE_CHECKING:
@@ -178,7 +185,7 @@
         (0.2, JobStatus.PENDING, VmState.DOWN),
     ):
         home.clock.now += after_s
-        await report_silent(home.sessions)
+        await report_expired_leases(home.sessions)
         await asyncio.sleep(0.01)
         assert (home.job.status, home.vm_state) == (status, state)
     home.freshness.confirm(at=home.clock.now)
@@ -191,7 +198,7 @@
     home.submitter.must(TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1))
     await home.reply()
     home.clock.now += 6
-    await report_silent(home.sessions)
+    await report_expired_leases(home.sessions)
     await asyncio.sleep(0.01)
     home.freshness.confirm(at=home.clock.now)
     await home.reply()
