--- a/src/hyssopway/daemon/fleet_status.py
+++ b/src/hyssopway/daemon/fleet_status.py
@@ -7,7 +7,7 @@
 
 from hyssopway.control.apply.waves import is_under_way
 from hyssopway.control.record import ZoneStatus
-from hyssopway.fleet.drains import find_overdue
+from hyssopway.fleet.drains import find_overdue_drains
 
 if TYPE_CHECKING:
     from hyssopway.control import ControlState
@@ -35,7 +35,7 @@
         ],
         "questions": [
             {"vm": permit.vm, "purpose": permit.purpose, "waiting_s": (now_ms - permit.at_ms) / 1000}
-            for permit in find_overdue(state, now_ms=now_ms)
+            for permit in find_overdue_drains(state, now_ms=now_ms)
         ],
     }
 
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -20,9 +20,9 @@
 from hyssopway.event import Event, log_event
 
 from .demand import Demand, count_waiting_cores
-from .drains import decide_moves, find_overdue
+from .drains import decide_moves, find_overdue_drains
 from .lending import decide_lending
-from .wave_order import find_late_ms
+from .wave_order import forecast_overrun_ms
 from .waves import decide_waves
 from .zone_steps import decide_zones
 
@@ -170,7 +170,7 @@
 
     async def _ask_operator(self) -> None:
         """Asks once about each overdue drain, over all leaders."""
-        overdue = find_overdue(self.replica.state, now_ms=self.now_ms())
+        overdue = find_overdue_drains(self.replica.state, now_ms=self.now_ms())
         self.asking &= {(permit.vm, permit.at_ms) for permit in overdue}
         for permit in overdue:
             key = (permit.vm, permit.at_ms)
@@ -194,7 +194,7 @@
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
-            if is_under_way(wave) and (late_ms := find_late_ms(state, wave=wave, now_ms=self.now_ms()))
+            if is_under_way(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
         }
         for wave_id in sorted(late.keys() - self.late):
             question = (
--- a/src/hyssopway/fleet/drains.py
+++ b/src/hyssopway/fleet/drains.py
@@ -33,7 +33,7 @@
     return commands
 
 
-def find_overdue(state: ControlState, *, now_ms: int) -> list[Permit]:
+def find_overdue_drains(state: ControlState, *, now_ms: int) -> list[Permit]:
     """Returns the permits of VMs whose work did not end in time."""
     document = state.document()
     policy = document.maintenance if document else MaintenancePolicy()
@@ -46,4 +46,4 @@
     ]
 
 
-__all__ = ["decide_moves", "find_overdue"]
+__all__ = ["decide_moves", "find_overdue_drains"]
--- a/src/hyssopway/fleet/wave_order.py
+++ b/src/hyssopway/fleet/wave_order.py
@@ -50,17 +50,17 @@
     return now_ms + round((now_ms - wave.started_ms) / visited * left)
 
 
-def find_due_ms(state: ControlState, *, wave: Wave) -> int:
+def find_deadline_ms(state: ControlState, *, wave: Wave) -> int:
     """Returns the time at which a wave is to have visited every VM, by the document in force."""
     document = state.document()
     policy = document.maintenance if document else MaintenancePolicy()
     return wave.started_ms + round(policy.period_s * 1000)
 
 
-def find_late_ms(state: ControlState, *, wave: Wave, now_ms: int) -> int:
+def forecast_overrun_ms(state: ControlState, *, wave: Wave, now_ms: int) -> int:
     """Returns by how much a wave will miss its deadline at the pace so far; 0 when it will not."""
     end_ms = forecast_end_ms(wave, now_ms=now_ms)
-    return max(0, (now_ms if end_ms is None else end_ms) - find_due_ms(state, wave=wave))
+    return max(0, (now_ms if end_ms is None else end_ms) - find_deadline_ms(state, wave=wave))
 
 
 def _list_waiting(state: ControlState, *, wave: Wave) -> list[Vm]:
@@ -108,4 +108,4 @@
             yield vm
 
 
-__all__ = ["IN_PROGRESS", "choose_next", "find_due_ms", "find_late_ms", "forecast_end_ms"]
+__all__ = ["IN_PROGRESS", "choose_next", "find_deadline_ms", "forecast_end_ms", "forecast_overrun_ms"]
--- a/src/hyssopway/operator_api/fleet_routes.py
+++ b/src/hyssopway/operator_api/fleet_routes.py
@@ -7,7 +7,7 @@
 from pydantic import TypeAdapter
 
 from hyssopway.control.command import DecideDrain, DrainVm, RequestMove, ReturnVm
-from hyssopway.fleet.drains import find_overdue
+from hyssopway.fleet.drains import find_overdue_drains
 from hyssopway.fleet.zone_report import report_zone
 from hyssopway.http import failure_response, json_response
 from hyssopway.result import Failure, ResultCode
@@ -98,7 +98,7 @@
 
     async def list_permits(self, request: web.Request) -> web.Response:
         """Lists permits and whether their drain needs a decision."""
-        overdue = {permit.vm for permit in find_overdue(self.replica.state, now_ms=self.now_ms())}
+        overdue = {permit.vm for permit in find_overdue_drains(self.replica.state, now_ms=self.now_ms())}
         permits = self.replica.state.tables.permits.values()
         return json_response(
             {"permits": [{"permit": permit, "overdue": permit.vm in overdue} for permit in permits]}
--- a/src/hyssopway/operator_api/wave_routes.py
+++ b/src/hyssopway/operator_api/wave_routes.py
@@ -9,7 +9,7 @@
 
 from hyssopway.control.apply.waves import is_under_way
 from hyssopway.control.command import ControlWave, StartWave, WaveAction
-from hyssopway.fleet.wave_order import find_due_ms, find_late_ms, forecast_end_ms
+from hyssopway.fleet.wave_order import find_deadline_ms, forecast_end_ms, forecast_overrun_ms
 from hyssopway.http import failure_response, json_response
 from hyssopway.result import Failure, ResultCode
 
@@ -91,8 +91,8 @@
             "started_ms": wave.started_ms,
             "progress": Counter(vm.status.value for vm in wave.vms.values()),
             "forecast_end_ms": end_ms,
-            "due_ms": find_due_ms(self.replica.state, wave=wave),
-            "late_ms": find_late_ms(self.replica.state, wave=wave, now_ms=self.now_ms())
+            "due_ms": find_deadline_ms(self.replica.state, wave=wave),
+            "late_ms": forecast_overrun_ms(self.replica.state, wave=wave, now_ms=self.now_ms())
             if is_under_way(wave)
             else 0,
         }
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -11,7 +11,7 @@
 from hyssopway.control.command import ChangeVm, DecideDrain, DrainVm, RequestMove
 from hyssopway.control.record import DrainDecision, VmState
 from hyssopway.fleet import FleetController
-from hyssopway.fleet.drains import decide_moves, find_overdue
+from hyssopway.fleet.drains import decide_moves, find_overdue_drains
 from hyssopway_standins.agreed import AgreedStandIn
 
 VM = "restock-vm-1"
@@ -71,7 +71,7 @@
     """Guards against a drain that blocks its budget without anybody knowing."""
     operate(agreed, DrainVm)
     change(agreed, *states)
-    assert [permit.vm for permit in find_overdue(agreed.state, now_ms=after_ms)] == [VM] * overdue
+    assert [permit.vm for permit in find_overdue_drains(agreed.state, now_ms=after_ms)] == [VM] * overdue
 
 
 async def test_question_about_a_drain_is_asked_once_over_two_leaders(agreed):
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -8,7 +8,7 @@
 from hyssopway.control.apply.waves import may_still_reboot
 from hyssopway.control.command import AdvanceWave, ControlWave, SetZone, StartWave, WaveAction
 from hyssopway.control.record import VmState, WaveStatus, WaveVmStatus, ZoneStatus
-from hyssopway.fleet.wave_order import find_due_ms, find_late_ms, forecast_end_ms
+from hyssopway.fleet.wave_order import find_deadline_ms, forecast_end_ms, forecast_overrun_ms
 from hyssopway.fleet.waves import decide_waves
 from hyssopway.result import ResultCode
 from hyssopway_standins.agreed import AgreedStandIn
@@ -188,12 +188,12 @@
     wave = driver.start()
     for _ in range(20):
         driver.run_round()
-    assert find_late_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms) == 0
+    assert forecast_overrun_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms) == 0
     driver.agreed.change_document(driver.agreed.data | {"maintenance": {"period_s": period_s}})
-    known = find_late_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms)
+    known = forecast_overrun_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms)
     assert bool(known) == late
     driver.run(wave)
-    assert (driver.agreed.now_ms > find_due_ms(driver.agreed.state, wave=wave)) == late
+    assert (driver.agreed.now_ms > find_deadline_ms(driver.agreed.state, wave=wave)) == late
 
 
 def change_pools(data, case):
