--- a/src/hyssopway/job/__init__.py
+++ b/src/hyssopway/job/__init__.py
@@ -6,6 +6,6 @@
 from .run_revoker import RunRevoker
 from .scheduler import JobScheduler
 from .usage_reports import TaskUsage, UsageReports
-from .waiting import explain_waiting
+from .pending_reason import explain_pending
 
-__all__ = ["HomeMonitor", "JobScheduler", "RunRevoker", "TaskUsage", "UsageReports", "explain_waiting"]
+__all__ = ["HomeMonitor", "JobScheduler", "RunRevoker", "TaskUsage", "UsageReports", "explain_pending"]
--- a/src/hyssopway/job/waiting.py
+++ b/src/hyssopway/job/pending_reason.py
@@ -13,7 +13,7 @@
     from hyssopway.control.record import Job
 
 
-def explain_waiting(state: ControlState, *, job: Job) -> str:
+def explain_pending(state: ControlState, *, job: Job) -> str:
     """Returns the rule that holds a job back with its figures; empty when it is not pending."""
     if job.status is not JobStatus.PENDING:
         return ""
@@ -52,4 +52,4 @@
     )
 
 
-__all__ = ["explain_waiting"]
+__all__ = ["explain_pending"]
--- a/src/hyssopway/operator_api/operator_routes.py
+++ b/src/hyssopway/operator_api/operator_routes.py
@@ -10,7 +10,7 @@
 
 from hyssopway.control.command import GrantKey, PromoteDocument, SetZone, TrialDocument, WithdrawKey
 from hyssopway.http import failure_response, json_response
-from hyssopway.job import explain_waiting
+from hyssopway.job import explain_pending
 from hyssopway.result import Failure, ResultCode
 
 from .bodies import GrantBody, PromoteBody, TrialBody, ZoneBody
@@ -223,7 +223,7 @@
         if job is None:
             message = f"job {request.match_info['job']!r} does not exist"
             return failure_response(Failure(code=ResultCode.UNKNOWN_JOB, message=message))
-        waiting = explain_waiting(self.replica.state, job=job)
+        waiting = explain_pending(self.replica.state, job=job)
         return json_response({**asdict(job), "waiting": waiting})
 
     async def explain_request(self, request: web.Request) -> web.Response:
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -11,7 +11,7 @@
 from hyssopway.control.command import PromoteDocument, SetZone, TrialDocument
 from hyssopway.control.record import JobStatus, ReclaimAction, RunOutcome, ZoneStatus
 from hyssopway.document import Resources
-from hyssopway.job import TaskUsage, explain_waiting
+from hyssopway.job import TaskUsage, explain_pending
 from hyssopway.job.capacity_tree import CLOSED, CapacityTree
 from hyssopway.job.estimates import MAX_KINDS, Estimates
 from hyssopway.job.shares import fair_shares
@@ -245,7 +245,7 @@
     for number in range(jobs):
         leader.submitter.accept(f"r{number}")
     await leader.round()
-    assert rule in explain_waiting(leader.submitter.state, job=leader.jobs[f"r{jobs - 1}"])
+    assert rule in explain_pending(leader.submitter.state, job=leader.jobs[f"r{jobs - 1}"])
 
 
 def test_estimates_forget_the_oldest_of_too_many_kinds():
