--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -54,7 +54,7 @@
         asking: Questions about drains whose record is on its way, by VM and start.
         late: Waves that were reported as late.
         demand: Demand of pools; soft state.
-        stepped_ms: Time of the last return step by zone.
+        last_return_ms: Time of the last return step by zone.
         broken: Budget that failures alone exceed, as reported last.
     """
 
@@ -63,12 +63,12 @@
         "broken",
         "clock",
         "demand",
+        "last_return_ms",
         "late",
         "leads",
         "now_ms",
         "rebooter",
         "replica",
-        "stepped_ms",
         "submitter",
     )
 
@@ -89,7 +89,7 @@
         self.now_ms = now_ms
         self.rebooter = rebooter
         self.demand = Demand()
-        self.stepped_ms: dict[str, int] = {}
+        self.last_return_ms: dict[str, int] = {}
         self.asking: set[tuple[str, int]] = set()
         self.late: set[str] = set()
         self.broken = ""
@@ -128,7 +128,7 @@
 
     async def _advance_zones(self) -> None:
         state = self.replica.state
-        steps = decide_zones(state, now_ms=self.now_ms(), stepped_ms=self.stepped_ms)
+        steps = decide_zones(state, now_ms=self.now_ms(), last_return_ms=self.last_return_ms)
         for step in steps:
             result = await self.submitter.submit(step, timeout_s=SUBMIT_TIMEOUT_S)
             if isinstance(step, TakePermit) and result.is_error():
@@ -140,7 +140,7 @@
                 log_event(Event.VM_MOVED, vm=step.vm, source=source, target=step.target, reason=step.reason)
 
     async def _lend(self) -> None:
-        self.demand.note(waiting=count_waiting_cores(self.replica.state), now=self.clock())
+        self.demand.add_sample(waiting=count_waiting_cores(self.replica.state), now=self.clock())
         for command in decide_lending(self.replica.state, demand=self.demand):
             await self.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S)
 
--- a/src/hyssopway/fleet/demand.py
+++ b/src/hyssopway/fleet/demand.py
@@ -29,7 +29,7 @@
     cores: dict[str, float] = field(default_factory=dict)
     noted_at: float = 0.0
 
-    def note(self, *, waiting: Mapping[str, float], now: float) -> None:
+    def add_sample(self, *, waiting: Mapping[str, float], now: float) -> None:
         """Takes a sample."""
         weight = 1.0 - math.exp(-max(0.0, now - self.noted_at) / SMOOTHING_S)
         for pool in {*self.cores, *waiting}:
--- a/src/hyssopway/fleet/zone_steps.py
+++ b/src/hyssopway/fleet/zone_steps.py
@@ -25,22 +25,22 @@
 MAX_TRIES = 8
 
 
-def decide_zones(state: ControlState, *, now_ms: int, stepped_ms: dict[str, int]) -> list[ZoneStep]:
+def decide_zones(state: ControlState, *, now_ms: int, last_return_ms: dict[str, int]) -> list[ZoneStep]:
     """Returns the next steps of all zones.
 
     Args:
         state: Agreed state.
         now_ms: Agreed time.
-        stepped_ms: Time of the last return step by zone; updated here. A new leader may step sooner.
+        last_return_ms: Time of the last return step by zone; updated here. A new leader may step sooner.
     """
     steps: list[ZoneStep] = []
     for zone in state.tables.zones.values():
         if zone.status is ZoneStatus.WITHDRAWN:
             steps += _empty_zone(state, zone=zone)
-        elif now_ms - stepped_ms.get(zone.name, 0) >= RETURN_STEP_MS:
+        elif now_ms - last_return_ms.get(zone.name, 0) >= RETURN_STEP_MS:
             found = _return_zone(state, zone=zone)
             if found:
-                stepped_ms[zone.name] = now_ms
+                last_return_ms[zone.name] = now_ms
             steps += found
     return steps
 
--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -149,7 +149,7 @@
     zone = rng.choice(sorted(driver.agreed.state.tables.zones))
     demand = {pool: 0.8 * size for pool, size in _count_ready(driver, outside="").items()}
     failing = rng.sample([vm.name for vm in driver.agreed.state.tables.vms.values() if vm.zone != zone], 5)
-    stepped_ms: dict[str, int] = {}
+    last_return_ms: dict[str, int] = {}
     done = without_moves = possible = 0.0
     for number in range(400):
         if number in (10, 150):
@@ -161,7 +161,9 @@
             driver.change(failing[number // 50], VmState.DOWN)
         if number % 50 == 45 and number // 50 < len(failing):
             driver.change(failing[number // 50], VmState.READY)
-        for step in decide_zones(driver.agreed.state, now_ms=driver.agreed.now_ms, stepped_ms=stepped_ms):
+        for step in decide_zones(
+            driver.agreed.state, now_ms=driver.agreed.now_ms, last_return_ms=last_return_ms
+        ):
             driver.agreed.apply(step)
         driver.run_round()
         if number < 10 or (number > 150 and not _is_changing(driver, zone=zone)):
@@ -247,7 +249,7 @@
             if buffer in ("at_once", "no_drain"):
                 smoothed.cores = dict(waiting)
             else:
-                smoothed.note(waiting=waiting, now=driver.agreed.now_ms / 1000)
+                smoothed.add_sample(waiting=waiting, now=driver.agreed.now_ms / 1000)
             for command in decide_lending(driver.agreed.state, demand=smoothed):
                 moves += driver.agreed.apply(command).failure is None
         work = {pool: min(demand[pool], ready[pool]) for pool in pools}
--- a/tests/fleet/test_lending.py
+++ b/tests/fleet/test_lending.py
@@ -24,7 +24,7 @@
     """Runs rounds with a demand in cores and returns the moves asked for."""
     moves = []
     for _ in range(rounds):
-        demand.note(waiting=waiting, now=driver.agreed.now_ms / 1000)
+        demand.add_sample(waiting=waiting, now=driver.agreed.now_ms / 1000)
         commands = decide_lending(driver.agreed.state, demand=demand)
         assert [driver.agreed.apply(command).failure for command in commands] == [None] * len(commands)
         moves.extend((command.vm, command.target) for command in commands)
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -26,13 +26,13 @@
     return driver.agreed.apply(command).failure
 
 
-def run(driver, rounds=60, stepped_ms=None):
+def run(driver, rounds=60, last_return_ms=None):
     """Runs zones and moves, and checks budgets and pools in each round."""
-    stepped_ms = {} if stepped_ms is None else stepped_ms
+    last_return_ms = {} if last_return_ms is None else last_return_ms
     document = driver.agreed.state.document()
     returned = []
     for _ in range(rounds):
-        steps = decide_zones(driver.agreed.state, now_ms=driver.agreed.now_ms, stepped_ms=stepped_ms)
+        steps = decide_zones(driver.agreed.state, now_ms=driver.agreed.now_ms, last_return_ms=last_return_ms)
         returned.append(Counter(step.kind for step in steps)["return_permit"])
         for step in steps:
             driver.agreed.apply(step)
@@ -170,5 +170,5 @@
     for name in names[: pool.budget.max_down + 1]:
         driver.change(name, VmState.DOWN)
     set_zone(driver, zone, ZoneStatus.WITHDRAWN)
-    assert not decide_zones(driver.agreed.state, now_ms=0, stepped_ms={})
+    assert not decide_zones(driver.agreed.state, now_ms=0, last_return_ms={})
     assert report_zone(driver.agreed.state, zone=zone)["stopped_by_failures"]
