--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -53,7 +53,7 @@
             leads=group.leads,
             clock=group.clock,
         )
-        self.scheduler.planner.find_silent = self.lost_homes.find_silent
+        self.scheduler.planner.find_silent_homes = self.lost_homes.find_silent_homes
         self.unordered_runs = self._build_unordered_runs(group=group, calls=calls)
 
     def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> RunRevoker | None:
--- a/src/hyssopway/job/home_monitor.py
+++ b/src/hyssopway/job/home_monitor.py
@@ -116,7 +116,7 @@
             return 0.0
         return self.clock() - max(self.contacts.get(home, self.counts_from), self.counts_from)
 
-    def find_silent(self) -> frozenset[str]:
+    def find_silent_homes(self) -> frozenset[str]:
         """Returns the homes that get no new work because they are out of contact."""
         return frozenset(home for home in self.homes if self.silent_s(home) > SILENT_S)
 
--- a/src/hyssopway/job/planner.py
+++ b/src/hyssopway/job/planner.py
@@ -48,7 +48,7 @@
         total: Capacity of all VMs that take work.
         ends: Runs that ended since the last round.
         avoid: Returns VMs that a job should not run on again.
-        find_silent: Returns the homes that are out of contact.
+        find_silent_homes: Returns the homes that are out of contact.
         blocked: Groups that fitted nowhere in this round, the first first.
     """
 
@@ -58,7 +58,7 @@
         "clock",
         "ends",
         "estimates",
-        "find_silent",
+        "find_silent_homes",
         "queues",
         "returning_since",
         "state",
@@ -80,7 +80,7 @@
         self.blocked: list[GroupKey] = []
         self.ends: list[RunEnd] = []
         self.avoid: Callable[[Job], list[str]] = lambda _: []
-        self.find_silent: Callable[[], frozenset[str]] = frozenset
+        self.find_silent_homes: Callable[[], frozenset[str]] = frozenset
         self.returning_since: dict[str, float] = {}
 
     def refresh(self, *, state: ControlState, now_ms: int) -> None:
@@ -104,7 +104,7 @@
             self.follow_job(job_id, now_ms=now_ms)
         self._follow_zones()
         self.view.let_in(now=self.clock())
-        self.view.skip_silent(self.find_silent())
+        self.view.skip_silent(self.find_silent_homes())
         self.total = self.view.total()
         self.usage = {
             team: TeamUsage(tasks=usage.tasks, resources=usage.resources)
--- a/src/hyssopway/job/run_revoker.py
+++ b/src/hyssopway/job/run_revoker.py
@@ -89,7 +89,7 @@
             self.term = term
         if not self.member.is_leader:
             return
-        for home in self.home_monitor.find_silent() & self.confirmed_homes:
+        for home in self.home_monitor.find_silent_homes() & self.confirmed_homes:
             if home not in self.undecided_ends and (ends := self._find_ends(home)):
                 self.undecided_ends[home] = ends
         await asyncio.gather(*(self._settle(home, term=term) for home in list(self.undecided_ends)))
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -283,7 +283,7 @@
     leader.submitter.register("vm-1", home="h1")
     leader.submitter.register("vm-2", home="h2")
     for number, (silent, vms) in enumerate([({"h2"}, {"vm-1"}), (set(), {"vm-1", "vm-2"})]):
-        leader.scheduler.planner.find_silent = lambda silent=silent: frozenset(silent)
+        leader.scheduler.planner.find_silent_homes = lambda silent=silent: frozenset(silent)
         for part in range(2):
             leader.submitter.accept(f"j{number}-{part}", team="blue")
         await leader.round()
