--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -88,7 +88,7 @@
         await asyncio.sleep(ROUND_PAUSE_S)
 
     def _stop_unwanted(self) -> None:
-        for key, vm in list(self.leadership.state.indexes.unwanted.items()):
+        for key, vm in list(self.leadership.state.indexes.runs_to_stop.items()):
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
@@ -211,7 +211,7 @@
                 continue
             if record.draining or record.zone in tables.evacuated or vm_id in self.closed_vms:
                 continue
-            use = self.leadership.state.indexes.vm_use.get(vm_id)
+            use = self.leadership.state.indexes.vm_usage.get(vm_id)
             rooms.setdefault(record.pool, []).append(
                 _describe_room(record, use=use, failures=link.failures, is_due=vm_id in self.due_vms)
             )
@@ -233,7 +233,7 @@
         team = indexes.teams.get(ready.workflow.team)
         if team is None:
             return True
-        use = indexes.team_use.get(team.name)
+        use = indexes.team_usage.get(team.name)
         taken = self.taken.setdefault(team.name, [0, 0, 0])
         step = ready.step
         wanted = [
@@ -263,8 +263,8 @@
         cpu_millis=capacity.cpu_millis - (use.cpu_millis if use else 0),
         memory_mb=capacity.memory_mb - (use.memory_mb if use else 0),
         accelerators=capacity.accelerators - (use.accelerators if use else 0),
-        serving=use.serving if use else 0,
-        filling=use.filling if use else 0,
+        serving=use.latency_bound if use else 0,
+        filling=use.best_effort if use else 0,
         suspicion=min(failures, MAX_SUSPICION),
         is_due=is_due,
     )
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.budgets import find_broken_budget
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
     ChangeVm,
     ControlWave,
     MoveVm,
-    NoteQuestion,
+    RecordDrainQuestion,
     SetZone,
     TakePermit,
 )
@@ -178,7 +178,7 @@
                 # The answer may be lost after the record was agreed; the next round then finds it.
                 self.asking.add(key)
                 await self.submitter.submit(
-                    NoteQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
+                    RecordDrainQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
                     timeout_s=SUBMIT_TIMEOUT_S,
                 )
             if permit.asked and key in self.asking:
@@ -194,7 +194,7 @@
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
-            if is_under_way(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
+            if is_active(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
         }
         for wave_id in sorted(late.keys() - self.late):
             question = (
@@ -205,7 +205,7 @@
         self.late = set(late)
 
     def _report_broken(self) -> None:
-        broken = find_broken(self.replica.state)
+        broken = find_broken_budget(self.replica.state)
         if broken and broken != self.broken:
             log_event(Event.BUDGET_BROKEN, reason=broken)
         if self.broken and not broken:
--- a/src/hyssopway/workflow/__init__.py
+++ b/src/hyssopway/workflow/__init__.py
@@ -1,4 +1,4 @@
-"""Workflows of many tasks: what is agreed about them and how it changes."""
+"""Workflows of many tasks: their replicated state and the commands that change it."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     CancelWorkflow,
     Command,
     ConfirmMaintenance,
+    DeleteWorkflows,
     EndRuns,
-    ForgetWorkflows,
-    NoteMachineOrders,
     PutDocument,
+    RecordMachineOrders,
     RegisterVm,
     RemoveVm,
     RunStart,
@@ -51,14 +51,14 @@
     "Capacity",
     "Command",
     "ConfirmMaintenance",
+    "DeleteWorkflows",
     "EndRuns",
     "FleetDocument",
-    "ForgetWorkflows",
     "Indexes",
-    "NoteMachineOrders",
     "PoolPolicy",
     "PutDocument",
     "Queue",
+    "RecordMachineOrders",
     "RegisterVm",
     "RemoveVm",
     "RunEnd",
--- a/src/hyssopway/workflow/state.py
+++ b/src/hyssopway/workflow/state.py
@@ -17,10 +17,10 @@
     CancelWorkflow,
     Command,
     ConfirmMaintenance,
+    DeleteWorkflows,
     EndRuns,
-    ForgetWorkflows,
-    NoteMachineOrders,
     PutDocument,
+    RecordMachineOrders,
     RegisterVm,
     RemoveVm,
     SetZoneEvacuated,
@@ -33,23 +33,24 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_COMMAND: TypeAdapter[Command] = TypeAdapter(Annotated[Command, Field(discriminator="kind")])
-_TABLES = TypeAdapter(Tables)
+_COMMAND_ADAPTER: TypeAdapter[Command] = TypeAdapter(Annotated[Command, Field(discriminator="kind")])
+_TABLES_ADAPTER = TypeAdapter(Tables)
 
 
 def encode_command(command: Command) -> bytes:
-    """Encodes a command for the log."""
-    return _COMMAND.dump_json(command, exclude_defaults=False)
+    """Encodes a command as an entry of the replicated log."""
+    return _COMMAND_ADAPTER.dump_json(command, exclude_defaults=False)
 
 
 class WorkflowState:
-    """Applies commands in the order of the log; the same log gives the same state on every member.
+    """Applies the commands of the replicated log; deterministic, so that all members reach the same state.
 
     Attributes:
-        tables: Agreed data.
-        indexes: Views of it.
-        applied_index: Index of the last entry applied.
-        on_change: Called after each entry.
+        tables: Replicated data.
+        indexes: Indexes derived from the tables.
+        applied_index: Log index of the last entry applied.
+        on_change: Called after an entry is applied or a snapshot restored, but not for an entry that was skipped
+            as unknown.
     """
 
     __slots__ = ("applied_index", "indexes", "on_change", "tables")
@@ -61,37 +62,37 @@
         self.on_change: Callable[[], None] | None = None
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
-        """Applies one committed entry; an empty one changes nothing."""
+        """Applies one committed log entry; an empty entry changes nothing."""
         self.applied_index = index
         if data:
             try:
-                command = _COMMAND.validate_json(data)
+                command = _COMMAND_ADAPTER.validate_json(data)
             except ValueError as error:
-                # A newer release wrote it; all members of this release skip it alike.
+                # A newer release wrote the entry; every member of this release skips it.
                 log_event(Event.COMMAND_UNKNOWN, index=index, error=str(error).splitlines()[0])
                 return Outcome(index=index)
-            self._apply_whole(command, index=index)
+            self._apply_or_skip(command, index=index)
         if self.on_change is not None:
             self.on_change()
         return Outcome(index=index)
 
     def encode_snapshot(self) -> bytes:
-        """Encodes the state."""
-        return _TABLES.dump_json(self.tables)
+        """Encodes the tables as a snapshot."""
+        return _TABLES_ADAPTER.dump_json(self.tables)
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces the state."""
-        self.tables = _TABLES.validate_json(data)
+        """Replaces the tables by those of a snapshot and rebuilds the indexes."""
+        self.tables = _TABLES_ADAPTER.validate_json(data)
         self.indexes = Indexes(self.tables)
         if self.on_change is not None:
             self.on_change()
 
-    def _apply_whole(self, command: Command, *, index: int) -> None:
+    def _apply_or_skip(self, command: Command, *, index: int) -> None:
         try:
             self._apply_command(command)
         except Exception as error:
-            # The same on every member. Without this an entry that cannot be applied holds up all that follow, also
-            # after a restart.
+            # The failure is the same on every member. Without this handler, one entry that cannot be applied would
+            # block all later entries, also after a restart.
             log_event(Event.COMMAND_FAILED, index=index, kind=command.kind, error=repr(error))
 
     def _apply_command(self, command: Command) -> None:
@@ -107,8 +108,8 @@
                 apply_workflows.add_occurrence(tables, command)
             case CancelWorkflow():
                 apply_workflows.cancel_workflow(tables, indexes, command)
-            case ForgetWorkflows():
-                apply_workflows.forget_workflows(tables, command)
+            case DeleteWorkflows():
+                apply_workflows.delete_workflows(tables, command)
             case RegisterVm():
                 apply_fleet.register_vm(tables, indexes, command)
             case RemoveVm():
@@ -123,8 +124,8 @@
                 apply_fleet.begin_maintenance(tables, command)
             case ConfirmMaintenance():
                 apply_fleet.confirm_maintenance(tables, command)
-            case NoteMachineOrders():
-                apply_fleet.note_machine_orders(tables, command)
+            case RecordMachineOrders():
+                apply_fleet.record_machine_orders(tables, command)
 
 
 __all__ = ["WorkflowState", "encode_command"]
--- a/tests/job/test_run_revoker.py
+++ b/tests/job/test_run_revoker.py
@@ -8,12 +8,12 @@
 import pytest
 from expression import Error, Ok
 
-from hyssopway.control import seal_command
+from hyssopway.control import wrap_command
 from hyssopway.control.record import JobStatus
 from hyssopway.job import HomeMonitor, RunRevoker
 from hyssopway.job.home_monitor import SILENT_S
 from hyssopway.result import Failure, ResultCode
-from states import LocalSubmitter, ManualClock, prepare
+from states import LocalSubmitter, ManualClock, make_submitter
 
 if TYPE_CHECKING:
     from typing import Any
@@ -39,7 +39,7 @@
         if self.unknown:
             return Error(Failure(code=ResultCode.OUTCOME_UNKNOWN, message="no quorum"))
         replica = self.submitter.replica
-        data = seal_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
+        data = wrap_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
         return Ok(replica.apply(index=replica.applied_index + 1, data=data))
 
 
@@ -47,7 +47,7 @@
 class World:
     """A leader with one run on a worker of home `h2`, which was never in contact."""
 
-    submitter: LocalSubmitter = field(default_factory=prepare)
+    submitter: LocalSubmitter = field(default_factory=make_submitter)
     clock: ManualClock = field(default_factory=ManualClock)
     member: FakeMember = field(default_factory=FakeMember)
 
