--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -12,6 +12,7 @@
 from .advice_fetcher import AdviceFetcher
 from .answer_times import AnswerTimes
 from .dispatcher import Dispatcher
+from .duration_scale import DurationScale
 from .emptying import Emptying
 from .leadership import LeadershipLostError
 from .look_pacer import LookPacer
@@ -22,7 +23,6 @@
 from .retention import Retention
 from .vm_link import FORGET_S, VmLink
 from .waves import Waves
-from .work_scale import WorkScale
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -93,7 +93,7 @@
         self.links: dict[str, VmLink] = {}
         self.reported_at = float("-inf")
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.scale = WorkScale()
+        self.scale = DurationScale()
         self.pacer = LookPacer()
         self.pace_memory = PaceMemory()
         self.times = AnswerTimes()
--- a/src/hyssopway/dispatch/work_scale.py
+++ b/src/hyssopway/dispatch/duration_scale.py
@@ -8,7 +8,7 @@
 MAX_SCALE = 5.0
 
 
-class WorkScale:
+class DurationScale:
     """Ratio of real to declared work by queue.
 
     Attributes:
@@ -22,10 +22,10 @@
         self.sums: dict[str, tuple[float, float]] = {}
         self.counts: dict[str, int] = {}
 
-    def add(self, queue: str, *, declared_ms: float, real_ms: float) -> None:
+    def add(self, queue: str, *, declared_ms: float, actual_ms: float) -> None:
         """Takes in a run that ended done."""
         declared, real = self.sums.get(queue, (0.0, 0.0))
-        self.sums[queue] = (declared + declared_ms, real + real_ms)
+        self.sums[queue] = (declared + declared_ms, real + actual_ms)
         self.counts[queue] = self.counts.get(queue, 0) + 1
 
     def read(self, queue: str) -> float:
@@ -38,4 +38,4 @@
         return min(MAX_SCALE, max(MIN_SCALE, (real + prior) / (declared + prior)))
 
 
-__all__ = ["WorkScale"]
+__all__ = ["DurationScale"]
--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_mover.py
@@ -17,13 +17,13 @@
 from .step_sizes import StepSizes
 
 if TYPE_CHECKING:
+    from .duration_scale import DurationScale
     from .emptying import Emptying
     from .leadership import Leadership
     from .machine_calls import MachineCalls
     from .machine_list import MachineList
     from .pool_load import PoolLoad
     from .pool_plan import MachineMove
-    from .work_scale import WorkScale
 
 STEP_S = 0.25
 LIST_S = 1.0
@@ -73,7 +73,7 @@
         calls: MachineCalls,
         machines: MachineList,
         emptying: Emptying,
-        scale: WorkScale,
+        scale: DurationScale,
         move_s: float,
         orders_per_s: float,
     ) -> None:
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -24,6 +24,7 @@
     from hyssopway.workflow import ActiveRun, VmRecord
 
     from .answer_times import AnswerTimes
+    from .duration_scale import DurationScale
     from .hold_reply import HoldReply
     from .leadership import Leadership
     from .look_pacer import LookPacer
@@ -31,7 +32,6 @@
     from .platform_limits import PlatformLimits
     from .running_row import RunningRow
     from .ticket_cache import TicketCache
-    from .work_scale import WorkScale
     from .worker_calls import WorkerCalls
 
 RETRY_S = 0.2
@@ -98,7 +98,7 @@
         leadership: Leadership,
         calls: WorkerCalls,
         limits: PlatformLimits,
-        scale: WorkScale,
+        scale: DurationScale,
         pacer: LookPacer,
         times: AnswerTimes,
         pace_memory: PaceMemory,
@@ -248,7 +248,7 @@
             return  # forgotten after its end
         step = workflow.spec.steps[task.step]
         if real_s > 0 and step.estimate_ms and not step.long_running:
-            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=real_s * 1000)
+            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, actual_ms=real_s * 1000)
 
     async def _settle(self, record: VmRecord, *, reply: HoldReply, sent_at: float) -> None:
         if not reply.is_whole:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -17,11 +17,11 @@
 from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
+from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_memory import PaceMemory
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.vm_link import VmLink
-from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import (
     AcceptWorkflow,
     Capacity,
@@ -255,7 +255,7 @@
         leadership=term,  # type: ignore[arg-type]
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
-        scale=WorkScale(),
+        scale=DurationScale(),
         pacer=LookPacer(),
         times=AnswerTimes(),
         pace_memory=PaceMemory(),
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -6,11 +6,11 @@
 
 from hyssopway.dispatch import HoldReply, OrderReply, PlatformLimits, RunningRow, WorkerUnreachableError
 from hyssopway.dispatch.answer_times import AnswerTimes
+from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_memory import PaceMemory
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
-from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import PutDocument, WorkflowState, encode_command
 from workflow.conftest import make_document, make_vm, make_workflow
 
@@ -106,7 +106,7 @@
         leadership=leadership,
         calls=calls,
         limits=LIMITS,
-        scale=WorkScale(),
+        scale=DurationScale(),
         pacer=LookPacer(),
         times=AnswerTimes(),
         pace_memory=PaceMemory(),
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -9,12 +9,12 @@
 from dispatch.conftest import LIMITS, make_link
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
+from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.emptying import Emptying
 from hyssopway.dispatch.machine_list import MachineList
 from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_mover import PoolMover
-from hyssopway.dispatch.work_scale import WorkScale
 from workflow.conftest import make_vm
 
 VMS = ("vm-1", "vm-2")
@@ -77,7 +77,7 @@
         calls=platform,
         machines=machines,
         emptying=emptying,
-        scale=WorkScale(),
+        scale=DurationScale(),
         move_s=LIMITS.move_s,
         orders_per_s=LIMITS.machine_orders_per_s,
     )
