--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -17,7 +17,7 @@
 from .leadership import LeadershipLostError
 from .look_pacer import LookPacer
 from .machine_list import MachineList
-from .pace_memory import PaceMemory
+from .pace_history import PaceHistory
 from .pool_load import measure_pools
 from .pool_mover import PoolMover
 from .retention import Retention
@@ -95,7 +95,7 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.scale = DurationScale()
         self.pacer = LookPacer()
-        self.pace_memory = PaceMemory()
+        self.pace_memory = PaceHistory()
         self.times = AnswerTimes()
         self.retention = Retention(keep_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
--- a/src/hyssopway/dispatch/pace_control.py
+++ b/src/hyssopway/dispatch/pace_control.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from .pace_memory import PaceMemory
+    from .pace_history import PaceHistory
 
 FULL_PERCENT = 100
 # Parts of the target at which tasks that fill lose or get back a part of their share.
@@ -68,15 +68,15 @@
     __slots__ = (
         "changed_at",
         "give_back_s",
+        "history",
         "images",
-        "memory",
         "own_load_until",
         "percent",
         "settle_s",
     )
 
-    def __init__(self, *, memory: PaceMemory, pacing_s: float) -> None:
-        self.memory = memory
+    def __init__(self, *, history: PaceHistory, pacing_s: float) -> None:
+        self.history = history
         self.settle_s = pacing_s + READING_S
         self.percent = FULL_PERCENT
         self.changed_at = float("-inf")
@@ -98,7 +98,7 @@
             self.percent = FULL_PERCENT
             return self.percent
         if not images <= self.images:
-            self._change(min(self.percent, self.memory.read(images)), now=now)
+            self._change(min(self.percent, self.history.read(images)), now=now)
         self.images = images
         pressure = max(one.tail_ms / one.target_ms for one in serving)
         if now - self.changed_at >= self.settle_s:
@@ -117,9 +117,9 @@
             is_slight = pressure < STOP_AT and cut >= LEAST_PERCENT and not self._was_own_load(now)
             self._change(cut if is_slight else 0, now=now)
             self.give_back_s = min(MAX_GIVE_BACK_S, 2 * self.give_back_s)
-            self.memory.note(self.images, percent=self.percent)
+            self.history.note(self.images, percent=self.percent)
         elif pressure < GIVE_BACK_AT and now - self.changed_at >= self.give_back_s:
-            self.memory.note(self.images, percent=self.percent)
+            self.history.note(self.images, percent=self.percent)
             if self.percent:
                 self.give_back_s = max(GIVE_BACK_S, self.give_back_s / 2)
             self._change(min(FULL_PERCENT, self.percent + GIVE_BACK_PERCENT), now=now)
--- a/src/hyssopway/dispatch/pace_memory.py
+++ b/src/hyssopway/dispatch/pace_history.py
@@ -11,7 +11,7 @@
 FIRST_PERCENT = 50
 
 
-class PaceMemory:
+class PaceHistory:
     """Shares at which serving tasks kept their target, by serving and filling image.
 
     Attributes:
@@ -37,4 +37,4 @@
         return self.kept.get(pair, FIRST_PERCENT) < FIRST_PERCENT
 
 
-__all__ = ["FIRST_PERCENT", "PaceMemory"]
+__all__ = ["FIRST_PERCENT", "PaceHistory"]
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -28,7 +28,7 @@
     from .hold_reply import HoldReply
     from .leadership import Leadership
     from .look_pacer import LookPacer
-    from .pace_memory import PaceMemory
+    from .pace_history import PaceHistory
     from .platform_limits import PlatformLimits
     from .running_row import RunningRow
     from .ticket_cache import TicketCache
@@ -101,7 +101,7 @@
         scale: DurationScale,
         pacer: LookPacer,
         times: AnswerTimes,
-        pace_memory: PaceMemory,
+        pace_memory: PaceHistory,
         tickets: TicketCache,
         on_change: Callable[[], None],
     ) -> None:
@@ -121,7 +121,7 @@
             vm_id=vm_id, leadership=leadership, calls=calls, lease=self.lease, times=times, tickets=tickets
         )
         self.pace = VmPace(
-            leadership=leadership, orders=self.orders, memory=pace_memory, pacing_s=limits.pacing_s
+            leadership=leadership, orders=self.orders, history=pace_memory, pacing_s=limits.pacing_s
         )
         self.unlisted = UnlistedRuns(
             leadership=leadership, orders=self.orders, stop_s=limits.stop_s + STOP_SLACK_S
@@ -208,7 +208,7 @@
         self.rows = {f"{row.task}/{row.run}": row for row in reply.running}
         self.orders.note_listed(self.rows, now=now)
         self._stop_stalled(now)
-        self.pace.follow(self.rows, now=now)
+        self.pace.update(self.rows, now=now)
         if reply.ends:
             await self._take_ends(record, reply=reply)
         await self._settle(record, reply=reply, sent_at=sent_at)
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -12,7 +12,7 @@
     from hyssopway.workflow import Step
 
     from .leadership import Leadership
-    from .pace_memory import PaceMemory
+    from .pace_history import PaceHistory
     from .run_orders import RunOrders
     from .running_row import RunningRow
 
@@ -31,13 +31,13 @@
     __slots__ = ("control", "leadership", "orders")
 
     def __init__(
-        self, *, leadership: Leadership, orders: RunOrders, memory: PaceMemory, pacing_s: float
+        self, *, leadership: Leadership, orders: RunOrders, history: PaceHistory, pacing_s: float
     ) -> None:
         self.leadership = leadership
         self.orders = orders
-        self.control = PaceControl(memory=memory, pacing_s=pacing_s)
+        self.control = PaceControl(history=history, pacing_s=pacing_s)
 
-    def follow(self, rows: dict[str, RunningRow], *, now: float) -> None:
+    def update(self, rows: dict[str, RunningRow], *, now: float) -> None:
         """Takes in a listing of the VM's runs and orders the pace of those that fill."""
         use = self.leadership.state.indexes.vm_use.get(self.orders.vm_id)
         if use is None or not use.filling:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -19,7 +19,7 @@
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.look_pacer import LookPacer
-from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.pace_history import PaceHistory
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.workflow import (
@@ -258,7 +258,7 @@
         scale=DurationScale(),
         pacer=LookPacer(),
         times=AnswerTimes(),
-        pace_memory=PaceMemory(),
+        pace_memory=PaceHistory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
     )
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -8,7 +8,7 @@
 from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.look_pacer import LookPacer
-from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.pace_history import PaceHistory
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.workflow import PutDocument, WorkflowState, encode_command
@@ -109,7 +109,7 @@
         scale=DurationScale(),
         pacer=LookPacer(),
         times=AnswerTimes(),
-        pace_memory=PaceMemory(),
+        pace_memory=PaceHistory(),
         tickets=TicketCache(clock=leadership.clock),
         on_change=lambda: None,
     )
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -9,7 +9,7 @@
 from dispatch.conftest import make_link
 from hyssopway.dispatch import OrderReply, RunningRow
 from hyssopway.dispatch.pace_control import OWN_LOAD_S, PaceControl, ServingReading
-from hyssopway.dispatch.pace_memory import FIRST_PERCENT, PaceMemory
+from hyssopway.dispatch.pace_history import FIRST_PERCENT, PaceHistory
 from hyssopway.workflow import StartRuns, Step
 from hyssopway.workflow.commands import RunStart
 from workflow.conftest import make_workflow
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def control():
-    return PaceControl(memory=PaceMemory(), pacing_s=PACING_S)
+    return PaceControl(history=PaceHistory(), pacing_s=PACING_S)
 
 
 @pytest.mark.parametrize("added_ms", [45, 80, 300, 3000])
@@ -106,15 +106,15 @@
 
 def test_what_one_vm_learned_is_where_the_next_begins():
     """Guards against each VM that has to find out again that an image disturbs."""
-    memory = PaceMemory()
-    DisturbedTask(alone_ms=60, added_ms=3000, control=PaceControl(memory=memory, pacing_s=PACING_S)).play(
+    history = PaceHistory()
+    DisturbedTask(alone_ms=60, added_ms=3000, control=PaceControl(history=history, pacing_s=PACING_S)).play(
         start=0.0, seconds=5
     )
-    fresh = PaceControl(memory=memory, pacing_s=PACING_S)
+    fresh = PaceControl(history=history, pacing_s=PACING_S)
     calm = ServingReading(image="desk", target_ms=TARGET_MS, tail_ms=70)
     assert fresh.choose(serving=[calm], filling=["batch"], now=100.0) < FIRST_PERCENT
-    assert memory.disturbs(("desk", "batch"))
-    assert not memory.disturbs(("desk", "other"))
+    assert history.disturbs(("desk", "batch"))
+    assert not history.disturbs(("desk", "other"))
 
 
 STEPS = (
@@ -169,7 +169,7 @@
     """Guards against a call for pace that nobody sends, and against one with each look."""
     fleet, paced, link = shared_vm
     for _ in range(3):
-        link.pace.follow(rows(70), now=fleet.now)
+        link.pace.update(rows(70), now=fleet.now)
         await _settle(link)
     assert paced.paces == {"mixed.0.1.0": FIRST_PERCENT, "mixed.0.1.1": FIRST_PERCENT}
     assert len(paced.vms.timeouts) == 2
@@ -179,7 +179,7 @@
     """Guards against a task that goes on to disturb because one order was lost."""
     fleet, paced, link = shared_vm
     paced.vms.lose = 1
-    link.pace.follow(rows(70), now=fleet.now)
+    link.pace.update(rows(70), now=fleet.now)
     await _settle(link)
     assert set(paced.paces.values()) == {FIRST_PERCENT}
     assert len(paced.paces) == 2
@@ -190,6 +190,6 @@
     fleet, paced, link = shared_vm
     fleet.term += 1
     without_serving = {key: row for key, row in rows(70).items() if not key.startswith("mixed.0.0")}
-    link.pace.follow(without_serving, now=fleet.now)
+    link.pace.update(without_serving, now=fleet.now)
     await _settle(link)
     assert set(paced.paces.values()) == {100}
