--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -13,7 +13,6 @@
 from .answer_times import AnswerTimes
 from .dispatcher import Dispatcher
 from .duration_scale import DurationScale
-from .emptying import Emptying
 from .leadership import LeadershipLostError
 from .look_pacer import LookPacer
 from .machine_list import MachineList
@@ -21,6 +20,7 @@
 from .pool_load import measure_pools
 from .pool_mover import PoolMover
 from .retention import Retention
+from .vm_drainer import VmDrainer
 from .vm_link import FORGET_S, VmLink
 from .waves import Waves
 
@@ -108,7 +108,7 @@
             list_rooms=self.dispatcher.list_rooms,
             on_tickets=self.dispatcher.changed.set,
         )
-        self.emptying = Emptying(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
+        self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
         machine_list = MachineList(
             leadership=leadership,
             calls=machines,
@@ -119,7 +119,7 @@
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             scale=self.scale,
             move_s=limits.move_s,
             orders_per_s=limits.machine_orders_per_s,
@@ -128,7 +128,7 @@
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             maintenance_s=limits.maintenance_s,
         )
 
@@ -212,9 +212,9 @@
     def _empty_draining(self) -> None:
         for vm_id, vm in self.leadership.state.tables.vms.items():
             if vm.draining:
-                self.emptying.close(vm_id, reason="it drains")
+                self.emptying.cordon(vm_id, reason="it drains")
         if self.leadership.may_order():
-            self.emptying.step()
+            self.emptying.evict_runs()
 
     def _report_load(self) -> None:
         now = self.leadership.clock()
--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -39,8 +39,8 @@
     Attributes:
         leadership: The term.
         links: VMs by identity.
-        closed_vms: VMs that get no starts because they are being emptied.
-        due_vms: VMs whose machine waits for its maintenance.
+        cordoned_vms: VMs that get no starts because they are being emptied.
+        awaiting_maintenance: VMs whose machine waits for its maintenance.
         waiting_millis: Processor by pool that waited after the last round.
         tickets: Tickets of steps whose queue has an advisor.
         changed: Set when a round may find something to do.
@@ -48,9 +48,9 @@
     """
 
     __slots__ = (
+        "awaiting_maintenance",
         "changed",
-        "closed_vms",
-        "due_vms",
+        "cordoned_vms",
         "leadership",
         "links",
         "sending",
@@ -61,8 +61,8 @@
     def __init__(self, *, leadership: Leadership, links: dict[str, VmLink]) -> None:
         self.leadership = leadership
         self.links = links
-        self.closed_vms: set[str] = set()
-        self.due_vms: set[str] = set()
+        self.cordoned_vms: set[str] = set()
+        self.awaiting_maintenance: set[str] = set()
         self.waiting_millis: dict[str, int] = {}
         self.tickets = TicketCache(clock=leadership.clock)
         self.changed = asyncio.Event()
@@ -209,11 +209,13 @@
             link = self.links.get(vm_id)
             if link is None or not link.in_contact(now) or now < link.orders.paused_until:
                 continue
-            if record.draining or record.zone in tables.evacuated or vm_id in self.closed_vms:
+            if record.draining or record.zone in tables.evacuated or vm_id in self.cordoned_vms:
                 continue
             use = self.leadership.state.indexes.vm_use.get(vm_id)
             rooms.setdefault(record.pool, []).append(
-                _describe_room(record, use=use, failures=link.failures, is_due=vm_id in self.due_vms)
+                _describe_room(
+                    record, use=use, failures=link.failures, is_due=vm_id in self.awaiting_maintenance
+                )
             )
         return rooms
 
--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_mover.py
@@ -18,12 +18,12 @@
 
 if TYPE_CHECKING:
     from .duration_scale import DurationScale
-    from .emptying import Emptying
     from .leadership import Leadership
     from .machine_calls import MachineCalls
     from .machine_list import MachineList
     from .pool_load import PoolLoad
     from .pool_plan import MachineMove
+    from .vm_drainer import VmDrainer
 
 STEP_S = 0.25
 LIST_S = 1.0
@@ -42,7 +42,7 @@
         leadership: The term.
         calls: Client of the platform.
         machines: Machines as listed last.
-        emptying: VMs that get no starts.
+        drainer: VMs that get no starts.
         move_s: Duration of a move.
         budget: Rate of the orders.
         forecast: Demand by pool when a machine ordered now arrives.
@@ -56,7 +56,7 @@
         "arrivals",
         "budget",
         "calls",
-        "emptying",
+        "drainer",
         "forecast",
         "idle_since",
         "leadership",
@@ -72,7 +72,7 @@
         leadership: Leadership,
         calls: MachineCalls,
         machines: MachineList,
-        emptying: Emptying,
+        drainer: VmDrainer,
         scale: DurationScale,
         move_s: float,
         orders_per_s: float,
@@ -80,7 +80,7 @@
         self.leadership = leadership
         self.calls = calls
         self.machines = machines
-        self.emptying = emptying
+        self.drainer = drainer
         self.move_s = move_s
         self.budget = OrderBudget(accepted_per_s=orders_per_s, now=leadership.clock())
         self.forecast = DemandForecast(ahead_s=move_s + JOIN_S, scale=scale.read)
@@ -97,7 +97,7 @@
             standby = next((pool.name for pool in document.pools if pool.standby), "") if document else ""
             loads = measure_pools(
                 tables=self.leadership.state.tables,
-                waiting_millis=self.emptying.dispatcher.waiting_millis,
+                waiting_millis=self.drainer.dispatcher.waiting_millis,
             )
             if standby and self.leadership.may_order():
                 await self.machines.refresh(max_age_s=LIST_S)
@@ -136,7 +136,7 @@
             vm.pool == pool
             and not vm.draining
             and vm.zone not in evacuated
-            and vm_id not in self.emptying.since
+            and vm_id not in self.drainer.cordoned_at
             and vm_id in in_contact
             for vm_id, vm in tables.vms.items()
         )
@@ -165,7 +165,7 @@
         return self.leadership.clock() - self.idle_since[vm_id]
 
     def _in_contact(self, now: float) -> set[str]:
-        return {vm_id for vm_id, link in self.emptying.links.items() if link.in_contact(now)}
+        return {vm_id for vm_id, link in self.drainer.links.items() if link.in_contact(now)}
 
     def _list_idle(self, pool: str) -> tuple[str, ...]:
         tables = self.leadership.state.tables
@@ -179,7 +179,7 @@
                 self.idle_since.pop(machine.vm_id, None)
                 continue
             since = self.idle_since.setdefault(machine.vm_id, now)
-            if machine.vm_id not in self.emptying.since:
+            if machine.vm_id not in self.drainer.cordoned_at:
                 idle.append((since, machine.machine_id))
         return tuple(machine_id for _, machine_id in sorted(idle))
 
@@ -211,9 +211,9 @@
         record = self.leadership.state.tables.vms.get(machine.vm_id)
         if record is not None:
             # Closed first: a start that was agreed in between keeps the machine where it is.
-            self.emptying.close(record.vm_id, reason=f"moves to pool {move.target}")
+            self.drainer.cordon(record.vm_id, reason=f"moves to pool {move.target}")
             if record.runs:
-                self.emptying.reopen(record.vm_id)
+                self.drainer.uncordon(record.vm_id)
                 return
         if not self.leadership.may_order():
             return
@@ -228,7 +228,7 @@
         except MachineCallError as error:
             log_event(Event.PLATFORM_FAILED, call="order_move", error=str(error))
             # It may have been carried out; the list shows the machine when it is up again.
-            self.emptying.reopen(machine.vm_id)
+            self.drainer.uncordon(machine.vm_id)
             return
         log_event(
             Event.MACHINE_MOVED,
@@ -237,7 +237,7 @@
             target=move.target,
             result=str(result),
         )
-        self.emptying.reopen(machine.vm_id)
+        self.drainer.uncordon(machine.vm_id)
         if result is MachineOrderResult.GONE:
             self.refused.add((move.source, move.target))
         if result is not MachineOrderResult.DONE:
--- a/src/hyssopway/dispatch/emptying.py
+++ b/src/hyssopway/dispatch/vm_drainer.py
@@ -19,35 +19,35 @@
 AT_WORK_PERCENT = 100
 
 
-class Emptying:
+class VmDrainer:
     """VMs that get no starts and whose work ends or moves.
 
     Attributes:
         leadership: The term.
         links: VMs by identity.
         dispatcher: Gets told which VMs are closed.
-        since: Local time since which each VM is emptied.
+        cordoned_at: Local time since which each VM is emptied.
     """
 
-    __slots__ = ("dispatcher", "leadership", "links", "since")
+    __slots__ = ("cordoned_at", "dispatcher", "leadership", "links")
 
     def __init__(self, *, leadership: Leadership, links: dict[str, VmLink], dispatcher: Dispatcher) -> None:
         self.leadership = leadership
         self.links = links
         self.dispatcher = dispatcher
-        self.since: dict[str, float] = {}
+        self.cordoned_at: dict[str, float] = {}
 
-    def close(self, vm_id: str, *, reason: str) -> None:
+    def cordon(self, vm_id: str, *, reason: str) -> None:
         """Starts to empty a VM."""
-        if vm_id not in self.since:
+        if vm_id not in self.cordoned_at:
             log_event(Event.VM_CLOSED, vm=vm_id, reason=reason)
-            self.since[vm_id] = self.leadership.clock()
-            self.dispatcher.closed_vms.add(vm_id)
+            self.cordoned_at[vm_id] = self.leadership.clock()
+            self.dispatcher.cordoned_vms.add(vm_id)
 
-    def reopen(self, vm_id: str) -> None:
+    def uncordon(self, vm_id: str) -> None:
         """Lets a VM get starts again."""
-        self.since.pop(vm_id, None)
-        self.dispatcher.closed_vms.discard(vm_id)
+        self.cordoned_at.pop(vm_id, None)
+        self.dispatcher.cordoned_vms.discard(vm_id)
         self.dispatcher.changed.set()
 
     def is_empty(self, vm_id: str) -> bool:
@@ -65,13 +65,13 @@
                 return True
         return False
 
-    def step(self) -> None:
+    def evict_runs(self) -> None:
         """Asks for the stops that are allowed now."""
-        for vm_id in list(self.since):
+        for vm_id in list(self.cordoned_at):
             link = self.links.get(vm_id)
             record = self.leadership.state.tables.vms.get(vm_id)
             if link is None or record is None:
-                self.reopen(vm_id)
+                self.uncordon(vm_id)
                 continue
             for key in sorted(record.runs):
                 self._consider(key, link=link, vm_id=vm_id)
@@ -84,7 +84,7 @@
         if step.long_running:
             if may_interrupt(tables=tables, task=task, is_at_work=self._is_at_work):
                 self._stop(task, run=int(run), link=link)
-        elif step.checkpointing and self.leadership.clock() - self.since[vm_id] > FINISH_S:
+        elif step.checkpointing and self.leadership.clock() - self.cordoned_at[vm_id] > FINISH_S:
             self._stop(task, run=int(run), link=link)
 
     def _stop(self, task: TaskId, *, run: int, link: VmLink) -> None:
@@ -104,4 +104,4 @@
         return False
 
 
-__all__ = ["Emptying"]
+__all__ = ["VmDrainer"]
--- a/src/hyssopway/dispatch/waves.py
+++ b/src/hyssopway/dispatch/waves.py
@@ -16,10 +16,10 @@
 if TYPE_CHECKING:
     from hyssopway.workflow import WaveRecord
 
-    from .emptying import Emptying
     from .leadership import Leadership
     from .machine_calls import Machine, MachineCalls
     from .machine_list import MachineList
+    from .vm_drainer import VmDrainer
 
 STEP_S = 0.2
 IDLE_STEP_S = 0.5
@@ -34,14 +34,14 @@
     Attributes:
         leadership: The term.
         calls: Client of the platform.
-        emptying: VMs that are being emptied.
+        drainer: VMs that are being emptied.
         maintenance_s: Duration of a maintenance.
         machines: Machines as listed last.
     """
 
     __slots__ = (
         "calls",
-        "emptying",
+        "drainer",
         "leadership",
         "machines",
         "maintenance_s",
@@ -53,12 +53,12 @@
         leadership: Leadership,
         calls: MachineCalls,
         machines: MachineList,
-        emptying: Emptying,
+        drainer: VmDrainer,
         maintenance_s: float,
     ) -> None:
         self.leadership = leadership
         self.calls = calls
-        self.emptying = emptying
+        self.drainer = drainer
         self.maintenance_s = maintenance_s
         self.machines = machines
 
@@ -92,13 +92,13 @@
     def _is_emptied(self, machine: Machine) -> bool:
         if machine.vm_id not in self.leadership.state.tables.vms:
             return True  # it is switched off, or its VM has not announced itself and runs nothing
-        closed_at = self.emptying.since.get(machine.vm_id)
+        closed_at = self.drainer.cordoned_at.get(machine.vm_id)
         if closed_at is None:
             return False
         emptying_s = self.leadership.clock() - closed_at
         if emptying_s >= MAX_EMPTYING_S:
-            return not self.emptying.has_long_running(machine.vm_id)
-        return self.emptying.is_empty(machine.vm_id)
+            return not self.drainer.has_long_running(machine.vm_id)
+        return self.drainer.is_empty(machine.vm_id)
 
     def _down_of(self, wave: WaveRecord) -> set[str]:
         """Machines that may be down for this wave: begun, and not known to be back."""
@@ -112,7 +112,7 @@
 
     def _count_emptying(self, wave: WaveRecord) -> int:
         machines = (self.machines.machines.get(machine_id) for machine_id in wave.machines)
-        return sum(machine is not None and machine.vm_id in self.emptying.since for machine in machines)
+        return sum(machine is not None and machine.vm_id in self.drainer.cordoned_at for machine in machines)
 
     def _is_in_maintenance(self, machine_id: str) -> bool:
         machine = self.machines.machines.get(machine_id)
@@ -135,7 +135,7 @@
     def _close_more(self, wave: WaveRecord) -> None:
         tables = self.leadership.state.tables
         use = self.leadership.state.indexes.vm_use
-        waiting = self.emptying.dispatcher.waiting_millis
+        waiting = self.drainer.dispatcher.waiting_millis
         pending = [
             machine
             for machine_id in wave.machines
@@ -143,7 +143,7 @@
             and machine_id not in wave.begun
             and self.machines.is_available(machine_id)
             and machine.vm_id in tables.vms
-            and machine.vm_id not in self.emptying.since
+            and machine.vm_id not in self.drainer.cordoned_at
         ]
         candidates = [
             Candidate(
@@ -155,12 +155,12 @@
             )
             for machine in pending
         ]
-        closed = Counter(tables.vms[vm_id].pool for vm_id in self.emptying.since if vm_id in tables.vms)
+        closed = Counter(tables.vms[vm_id].pool for vm_id in self.drainer.cordoned_at if vm_id in tables.vms)
         down = self._down_of(wave)
         for machine_id in down:
             if machine_id in self.machines.machines:
                 closed[self.machines.machines[machine_id].pool] += 1
-        self.emptying.dispatcher.due_vms = {machine.vm_id for machine in pending}
+        self.drainer.dispatcher.awaiting_maintenance = {machine.vm_id for machine in pending}
         chosen = choose_machines(
             candidates=candidates,
             pool_sizes=Counter(vm.pool for vm in tables.vms.values()),
@@ -170,7 +170,7 @@
             max_down=wave.max_down,
         )
         for one in chosen:
-            self.emptying.close(one.vm_id, reason=f"wave {wave.number}")
+            self.drainer.cordon(one.vm_id, reason=f"wave {wave.number}")
 
     async def _order(self, wave: WaveRecord, *, machine: Machine) -> None:
         command = BeginMaintenance(wave=wave.number, machine=machine.machine_id, at_ms=wall_ms())
@@ -205,7 +205,7 @@
         record = self.leadership.state.tables.vms.get(machine.vm_id)
         if record is not None:
             await self.leadership.propose(RemoveVm(vm=record.vm_id, boot=record.boot, at_ms=wall_ms()))
-        self.emptying.reopen(machine.vm_id)
+        self.drainer.uncordon(machine.vm_id)
 
 
 __all__ = ["Waves"]
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -43,8 +43,8 @@
     return {
         "term": conductor.leadership.term,
         "waiting_millis": conductor.dispatcher.waiting_millis,
-        "closed_vms": sorted(conductor.dispatcher.closed_vms),
-        "due_vms": sorted(conductor.dispatcher.due_vms),
+        "closed_vms": sorted(conductor.dispatcher.cordoned_vms),
+        "due_vms": sorted(conductor.dispatcher.awaiting_maintenance),
         "machines": conductor.mover.machines.machines,
         "links": {
             vm_id: {
--- a/tests/dispatch/test_maintenance.py
+++ b/tests/dispatch/test_maintenance.py
@@ -8,8 +8,8 @@
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.emptying import Emptying
 from hyssopway.dispatch.machine_list import GONE_S, MachineList
+from hyssopway.dispatch.vm_drainer import VmDrainer
 from hyssopway.dispatch.waves import MAX_EMPTYING_S, Waves
 from hyssopway.workflow import RunStart, StartRuns, StartWave, Step
 from workflow.conftest import make_workflow
@@ -46,7 +46,7 @@
 async def waves(fleet, vms, platform):
     link = make_link("vm-1", leadership=fleet, calls=vms)
     links = {"vm-1": link}
-    emptying = Emptying(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
+    drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineList(
         leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
     )
@@ -56,7 +56,7 @@
         leadership=fleet,
         calls=platform,
         machines=machines,
-        emptying=emptying,
+        drainer=drainer,
         maintenance_s=LIMITS.maintenance_s,
     )
 
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -10,11 +10,11 @@
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.duration_scale import DurationScale
-from hyssopway.dispatch.emptying import Emptying
 from hyssopway.dispatch.machine_list import MachineList
 from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_mover import PoolMover
+from hyssopway.dispatch.vm_drainer import VmDrainer
 from workflow.conftest import make_vm
 
 VMS = ("vm-1", "vm-2")
@@ -67,7 +67,7 @@
     for name in VMS:
         links[name] = make_link(name, leadership=fleet, calls=vms)
         await links[name].look()
-    emptying = Emptying(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
+    drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineList(
         leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
     )
@@ -76,7 +76,7 @@
         leadership=fleet,
         calls=platform,
         machines=machines,
-        emptying=emptying,
+        drainer=drainer,
         scale=DurationScale(),
         move_s=LIMITS.move_s,
         orders_per_s=LIMITS.machine_orders_per_s,
@@ -102,7 +102,7 @@
 
     An emptied VM gets no starts and may have to keep long-running tasks until others are at work elsewhere.
     """
-    mover.emptying.close("vm-1", reason="wave 1")
+    mover.drainer.cordon("vm-1", reason="wave 1")
     await step(mover)
     assert [pool for _, pool in platform.moves] == ["vans"]
 
--- a/tests/dispatch/test_emptying.py
+++ b/tests/dispatch/test_vm_drainer.py
@@ -8,13 +8,13 @@
 
 from dispatch.conftest import make_link
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.emptying import Emptying
+from hyssopway.dispatch.vm_drainer import VmDrainer
 from hyssopway.workflow import RunStart, StartRuns, Step
 from workflow.conftest import make_vm, make_workflow
 
 
 @pytest.fixture
-async def emptying(fleet, vms):
+async def drainer(fleet, vms):
     await fleet.propose(make_vm("vm-2"))
     step = Step(count=2, long_running=True, disruption_allowance=1)
     await fleet.propose(make_workflow("steady", steps=(step,)))
@@ -25,24 +25,24 @@
     for link in links.values():
         await link.look()
     dispatcher = Dispatcher(leadership=fleet, links=links)
-    return Emptying(leadership=fleet, links=links, dispatcher=dispatcher)
+    return VmDrainer(leadership=fleet, links=links, dispatcher=dispatcher)
 
 
-async def test_one_task_of_a_step_is_interrupted_at_a_time(emptying, vms):
+async def test_one_task_of_a_step_is_interrupted_at_a_time(drainer, vms):
     """Guards against a second interruption after a listing that was older than the first stop."""
     for name in ("vm-1", "vm-2"):
-        emptying.close(name, reason="test")
+        drainer.cordon(name, reason="test")
     for _ in range(3):
-        emptying.step()
+        drainer.evict_runs()
         await asyncio.sleep(0)
-        for link in emptying.links.values():
+        for link in drainer.links.values():
             await link.look()  # the VMs list both tasks as at work still
     assert {task for order, task, _ in vms.orders if order == "stop"} == {"steady.0.0.0"}
 
 
-async def test_closed_vm_gets_starts_again_when_it_is_reopened(emptying):
+async def test_closed_vm_gets_starts_again_when_it_is_reopened(drainer):
     """Guards against a VM that stays closed after its order was refused."""
-    emptying.close("vm-1", reason="test")
-    assert emptying.dispatcher.closed_vms == {"vm-1"}
-    emptying.reopen("vm-1")
-    assert not emptying.dispatcher.closed_vms
+    drainer.cordon("vm-1", reason="test")
+    assert drainer.dispatcher.cordoned_vms == {"vm-1"}
+    drainer.uncordon("vm-1")
+    assert not drainer.dispatcher.cordoned_vms
