--- a/src/hyssopway/dispatch/advice_fetcher.py
+++ b/src/hyssopway/dispatch/advice_fetcher.py
@@ -20,8 +20,8 @@
 
     from .advice_calls import AdviceCalls
     from .advice_plan import Question
+    from .free_capacity import FreeCapacity
     from .ticket_cache import TicketCache
-    from .vm_room import VmRoom
 
 STEP_S = 0.05
 # Beside the advisor's own time: the way, and a slow advisor.
@@ -52,7 +52,7 @@
         "calls",
         "clock",
         "good_vms",
-        "list_rooms",
+        "list_free_capacity",
         "on_tickets",
         "state",
         "tickets",
@@ -67,7 +67,7 @@
         tickets: TicketCache,
         clock: Clock,
         wall_ms: Callable[[], int],
-        list_rooms: Callable[[], dict[str, list[VmRoom]]],
+        list_free_capacity: Callable[[], dict[str, list[FreeCapacity]]],
         on_tickets: Callable[[], None],
     ) -> None:
         self.state = state
@@ -75,7 +75,7 @@
         self.tickets = tickets
         self.clock = clock
         self.wall_ms = wall_ms
-        self.list_rooms = list_rooms
+        self.list_free_capacity = list_free_capacity
         self.on_tickets = on_tickets
         self.asked_vms = 0
         self.good_vms = 0
@@ -93,7 +93,7 @@
             return False
         question = choose_question(
             steps=steps,
-            rooms=self.list_rooms(),
+            rooms=self.list_free_capacity(),
             boots={vm_id: vm.boot for vm_id, vm in self.state.tables.vms.items()},
             tickets=self.tickets,
             good_share=self.good_share(),
--- a/src/hyssopway/dispatch/advice_plan.py
+++ b/src/hyssopway/dispatch/advice_plan.py
@@ -18,8 +18,8 @@
 
     from hyssopway.workflow import Workflow
 
+    from .free_capacity import FreeCapacity
     from .ticket_cache import TicketCache
-    from .vm_room import VmRoom
 
 MAX_VMS_A_QUESTION = 100
 # Share of its tasks that may be open when a step counts as nearly done.
@@ -66,7 +66,7 @@
 def choose_question(
     *,
     steps: Iterable[AdvisedStep],
-    rooms: dict[str, list[VmRoom]],
+    rooms: dict[str, list[FreeCapacity]],
     boots: dict[str, int],
     tickets: TicketCache,
     good_share: float,
@@ -82,7 +82,7 @@
     """
     for one in steps:
         placeable = 0
-        unknown: list[VmRoom] = []
+        unknown: list[FreeCapacity] = []
         for room in rooms.get(one.pool, ()):
             boot = boots[room.vm_id]
             if tickets.read(one.name, vm=room.vm_id, boot=boot):
--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -105,7 +105,7 @@
             tickets=self.dispatcher.tickets,
             clock=leadership.clock,
             wall_ms=wall_ms,
-            list_rooms=self.dispatcher.list_rooms,
+            list_free_capacity=self.dispatcher.list_free_capacity,
             on_tickets=self.dispatcher.changed.set,
         )
         self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -10,10 +10,10 @@
 from hyssopway.event import Event, log_event
 from hyssopway.workflow import AddOccurrence, StartRuns, TaskId
 
+from .free_capacity import FreeCapacity
 from .placement import place_steps
 from .ready_steps import find_due_occurrences, find_ready_steps
 from .ticket_cache import TicketCache
-from .vm_room import VmRoom
 
 if TYPE_CHECKING:
     from hyssopway.workflow import ActiveRun, Capacity, RunStart, Usage, VmRecord
@@ -77,7 +77,7 @@
                 continue
             self._stop_unwanted()
             await self._add_due_occurrences()
-            await self.start_waiting()
+            await self.run_round()
 
     async def _wait_for_change(self) -> None:
         try:
@@ -100,7 +100,7 @@
         for workflow_id, occurrence in due:
             await self.leadership.propose(AddOccurrence(workflow_id=workflow_id, occurrence=occurrence))
 
-    async def start_waiting(self) -> None:
+    async def run_round(self) -> None:
         """Runs one round: places waiting tasks, agrees on their starts and orders them."""
         state = self.leadership.state
         ready = find_ready_steps(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
@@ -111,7 +111,7 @@
         limits = _TeamLimits(self.leadership)
         starts = place_steps(
             steps=ready,
-            rooms=self.list_rooms(),
+            rooms=self.list_free_capacity(),
             pool_of=lambda one: state.tables.queue_pools.get(one.workflow.queue, ""),
             takes_limit=limits.take,
             max_starts=MAX_STARTS_A_ROUND,
@@ -200,11 +200,11 @@
                 if vm.pool == queue.pool and self.tickets.read(name, vm=vm_id, boot=vm.boot)
             )
 
-    def list_rooms(self) -> dict[str, list[VmRoom]]:
+    def list_free_capacity(self) -> dict[str, list[FreeCapacity]]:
         """Returns the free capacity of VMs that take starts, by pool."""
         tables = self.leadership.state.tables
         now = self.leadership.clock()
-        rooms: dict[str, list[VmRoom]] = {}
+        rooms: dict[str, list[FreeCapacity]] = {}
         for vm_id, record in tables.vms.items():
             link = self.links.get(vm_id)
             if link is None or not link.in_contact(now) or now < link.orders.paused_until:
@@ -256,9 +256,9 @@
     return all(not most or amount <= most for amount, most in zip(amounts, limits, strict=True))
 
 
-def _describe_room(record: VmRecord, *, use: Usage | None, failures: int, is_due: bool) -> VmRoom:
+def _describe_room(record: VmRecord, *, use: Usage | None, failures: int, is_due: bool) -> FreeCapacity:
     capacity = record.capacity
-    return VmRoom(
+    return FreeCapacity(
         vm_id=record.vm_id,
         zone=record.zone,
         labels=record.labels,
--- a/src/hyssopway/dispatch/vm_room.py
+++ b/src/hyssopway/dispatch/free_capacity.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class VmRoom:
+class FreeCapacity:
     """Free capacity of a VM during one round of placement.
 
     Attributes:
@@ -69,4 +69,4 @@
         self.accelerators -= step.accelerators
 
 
-__all__ = ["VmRoom"]
+__all__ = ["FreeCapacity"]
--- a/src/hyssopway/dispatch/placement.py
+++ b/src/hyssopway/dispatch/placement.py
@@ -16,14 +16,14 @@
 
     from hyssopway.workflow import Step
 
+    from .free_capacity import FreeCapacity
     from .ready_step import ReadyStep
-    from .vm_room import VmRoom
 
 
 def place_steps(
     *,
     steps: Iterable[ReadyStep],
-    rooms: dict[str, list[VmRoom]],
+    rooms: dict[str, list[FreeCapacity]],
     pool_of: Callable[[ReadyStep], str],
     takes_limit: Callable[[ReadyStep], bool],
     max_starts: int,
@@ -55,7 +55,7 @@
 
 
 def _place_tasks(
-    ready: ReadyStep, *, rooms: list[VmRoom], takes_limit: Callable[[ReadyStep], bool], most: int
+    ready: ReadyStep, *, rooms: list[FreeCapacity], takes_limit: Callable[[ReadyStep], bool], most: int
 ) -> list[RunStart]:
     starts: list[RunStart] = []
     for index in ready.indexes[: max(0, most)]:
@@ -67,7 +67,7 @@
 
 
 def _place_gang(
-    ready: ReadyStep, *, rooms: list[VmRoom], takes_limit: Callable[[ReadyStep], bool]
+    ready: ReadyStep, *, rooms: list[FreeCapacity], takes_limit: Callable[[ReadyStep], bool]
 ) -> list[RunStart]:
     if len(ready.indexes) < ready.step.count:
         return []  # members of the former run have not all ended
@@ -83,11 +83,11 @@
     return []
 
 
-def _try_gang(ready: ReadyStep, *, rooms: list[VmRoom]) -> list[VmRoom] | None:
+def _try_gang(ready: ReadyStep, *, rooms: list[FreeCapacity]) -> list[FreeCapacity] | None:
     free = {room.vm_id: [room.cpu_millis, room.memory_mb, room.accelerators] for room in rooms}
     placed = dict(ready.placed)
     step = ready.step
-    chosen: list[VmRoom] = []
+    chosen: list[FreeCapacity] = []
     for _ in ready.indexes:
         for room in sorted(rooms, key=lambda room: -free[room.vm_id][0]):
             cpu, memory, accelerators = free[room.vm_id]
@@ -113,7 +113,7 @@
     return max(ready.workflow.progress[ready.occurrence][ready.number].last_run) + 1
 
 
-def _take(ready: ReadyStep, *, room: VmRoom, index: int, run: int | None = None) -> RunStart:
+def _take(ready: ReadyStep, *, room: FreeCapacity, index: int, run: int | None = None) -> RunStart:
     room.take(ready.step)
     ready.placed[room.vm_id] = ready.placed.get(room.vm_id, 0) + 1
     progress = ready.workflow.progress[ready.occurrence][ready.number]
@@ -121,9 +121,9 @@
     return RunStart(task=task.name, run=progress.last_run[index] + 1 if run is None else run, vm=room.vm_id)
 
 
-def _choose(ready: ReadyStep, *, rooms: list[VmRoom]) -> VmRoom | None:
+def _choose(ready: ReadyStep, *, rooms: list[FreeCapacity]) -> FreeCapacity | None:
     step = ready.step
-    best: VmRoom | None = None
+    best: FreeCapacity | None = None
     best_cost: tuple[float, ...] = ()
     for room in rooms:
         if not room.fits(step) or not ready.is_approved(room.vm_id):
@@ -136,7 +136,7 @@
     return best
 
 
-def _cost(ready: ReadyStep, *, step: Step, room: VmRoom) -> tuple[float, ...]:
+def _cost(ready: ReadyStep, *, step: Step, room: FreeCapacity) -> tuple[float, ...]:
     is_far = bool(step.data_rack) and step.data_rack not in room.labels
     if step.fills:
         return (room.suspicion, is_far, room.serving, room.filling, room.cpu_millis)
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -187,7 +187,7 @@
 
 
 async def _round(dispatcher: Dispatcher) -> None:
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     while dispatcher.sending:
         await asyncio.gather(*dispatcher.sending)
         await asyncio.sleep(0)
--- a/tests/dispatch/test_advice.py
+++ b/tests/dispatch/test_advice.py
@@ -81,7 +81,7 @@
             tickets=self.dispatcher.tickets,
             clock=self.leadership.clock,
             wall_ms=lambda: 10,
-            list_rooms=self.dispatcher.list_rooms,
+            list_free_capacity=self.dispatcher.list_free_capacity,
             on_tickets=lambda: None,
         )
 
@@ -97,7 +97,7 @@
 
     async def round(self):
         """Runs one round and waits for its orders."""
-        await self.dispatcher.start_waiting()
+        await self.dispatcher.run_round()
         while self.dispatcher.sending:
             await asyncio.gather(*self.dispatcher.sending)
 
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -34,8 +34,8 @@
     await conductor.take_announcement(make_vm("vm-1"))
     link = conductor.links["vm-1"]
     await link.look()
-    assert conductor.dispatcher.list_rooms() == {}
-    await conductor.dispatcher.start_waiting()
+    assert conductor.dispatcher.list_free_capacity() == {}
+    await conductor.dispatcher.run_round()
     assert vms.orders == []
     fleet.now += FORGET_S + 1.0
     await conductor._forget_silent()
@@ -55,4 +55,4 @@
     await conductor.take_announcement(make_vm("vm-1", draining=True))
     await conductor.take_announcement(make_vm("vm-1", draining=False))
     assert fleet.state.tables.vms["vm-1"].draining
-    assert conductor.dispatcher.list_rooms() == {}
+    assert conductor.dispatcher.list_free_capacity() == {}
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -58,7 +58,7 @@
     step = Step(count=TASKS, cpu_millis=5700, memory_mb=500, estimate_ms=640)
     for number in range(WORKFLOWS):
         await fleet.propose(make_workflow(f"w{number}", steps=(step,)))
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     assert len(fleet.state.tables.runs) == WORKFLOWS * TASKS
     assert dispatcher.waiting_millis == {}
 
@@ -70,7 +70,7 @@
         await fleet.propose(make_workflow(f"{number:016x}", steps=(step,)))
     lines = []
     handler = logger.add(lines.append, format="{message}", filter=is_start_line)
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     logger.remove(handler)
     logged = [key for line in lines for key in line.record["extra"]["runs"]]
     assert len(logged) == len(set(logged)) == WORKFLOWS * TASKS
@@ -80,6 +80,6 @@
 async def test_work_without_room_is_counted_as_waiting(dispatcher, fleet):
     """Guards against a pool whose demand is not seen because a part of a step has started."""
     await fleet.propose(make_workflow("wide", steps=(Step(count=VM_COUNT + 3, cpu_millis=40_000),)))
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     assert len(fleet.state.tables.runs) == VM_COUNT
     assert dispatcher.waiting_millis == {"vans": 3 * 40_000}
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_holder_machine.py
@@ -51,7 +51,7 @@
         self.run(self.leader.propose(make_workflow("w", steps=steps)))
         self.lead()
         self.look(VMS, "deliver")
-        self.start_waiting("deliver", "vm-1")
+        self.run_round("deliver", "vm-1")
 
     def run(self, work):
         return self.loop.run_until_complete(work)
@@ -68,7 +68,7 @@
         return self.leader.state.tables.workflows["w"]
 
     @rule(fate=FATES, first=st.sampled_from(VMS))
-    def start_waiting(self, fate, first):
+    def run_round(self, fate, first):
         """Places every task that waits on a VM in contact."""
         names = (first, *(name for name in VMS if name != first))
         found = [name for name in names if self.links[name].in_contact(self.leader.now)]
--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from hyssopway.dispatch.free_capacity import FreeCapacity
 from hyssopway.dispatch.placement import place_steps
 from hyssopway.dispatch.ready_step import ReadyStep
-from hyssopway.dispatch.vm_room import VmRoom
 from hyssopway.workflow import Step, Workflow
 from workflow.conftest import make_workflow
 
@@ -27,7 +27,7 @@
 
 
 def make_room(name, *, cpu=64_000, labels=("a", "r1"), **fields):
-    return VmRoom(
+    return FreeCapacity(
         vm_id=name,
         zone="nashua",
         labels=labels,
