--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -15,7 +15,7 @@
 from .duration_scale import DurationScale
 from .leadership import LeadershipLostError
 from .look_pacer import LookPacer
-from .machine_list import MachineList
+from .machine_inventory import MachineInventory
 from .pace_history import PaceHistory
 from .pool_load import measure_pools
 from .pool_mover import PoolMover
@@ -109,11 +109,11 @@
             on_tickets=self.dispatcher.changed.set,
         )
         self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
-        machine_list = MachineList(
+        machine_list = MachineInventory(
             leadership=leadership,
             calls=machines,
-            turn_s=limits.turn_s,
-            shortest_order_s=min(limits.move_s, limits.maintenance_s),
+            order_gap_s=limits.turn_s,
+            min_down_s=min(limits.move_s, limits.maintenance_s),
         )
         self.mover = PoolMover(
             leadership=leadership,
--- a/src/hyssopway/dispatch/machine_list.py
+++ b/src/hyssopway/dispatch/machine_inventory.py
@@ -20,7 +20,7 @@
 GONE_S = 3.0
 
 
-class MachineList:
+class MachineInventory:
     """The last list of machines.
 
     Attributes:
@@ -32,8 +32,8 @@
         ordered: Machines that were ordered to move or into maintenance, with the local time until which a list
             may not show it yet.
         tried_at: Local time of the last try.
-        turn_s: Shortest time between orders of two leaders for one machine.
-        shortest_order_s: Shortest time that an order keeps a machine from being up.
+        order_gap_s: Shortest time between orders of two leaders for one machine.
+        min_down_s: Shortest time that an order keeps a machine from being up.
         others_orders: Machines that a former leader may have ordered a moment ago, with the local time from
             which this one may order them.
     """
@@ -43,16 +43,16 @@
         "leadership",
         "listed_at",
         "machines",
+        "min_down_s",
         "missing_since",
+        "order_gap_s",
         "ordered",
         "others_orders",
-        "shortest_order_s",
         "tried_at",
-        "turn_s",
     )
 
     def __init__(
-        self, *, leadership: Leadership, calls: MachineCalls, turn_s: float, shortest_order_s: float
+        self, *, leadership: Leadership, calls: MachineCalls, order_gap_s: float, min_down_s: float
     ) -> None:
         self.leadership = leadership
         self.calls = calls
@@ -61,12 +61,12 @@
         self.missing_since: dict[str, float] = {}
         self.tried_at = float("-inf")
         self.ordered: dict[str, float] = {}
-        self.turn_s = turn_s
-        self.shortest_order_s = shortest_order_s
-        recent_ms = wall_ms() - (turn_s + WALL_CLOCK_SLACK_S) * 1000
+        self.order_gap_s = order_gap_s
+        self.min_down_s = min_down_s
+        recent_ms = wall_ms() - (order_gap_s + WALL_CLOCK_SLACK_S) * 1000
         orders = leadership.state.tables.machine_orders
         self.others_orders = {
-            machine_id: leadership.started_at + turn_s
+            machine_id: leadership.started_at + order_gap_s
             for machine_id, at_ms in orders.items()
             if at_ms > recent_ms
         }
@@ -118,16 +118,16 @@
         A former leader orders nothing after the start of this term, and a machine that it had ordered since
         would not be up yet. One that is not up any more got an order that was on its way for long.
         """
-        last_order_at = self.leadership.clock() - self.shortest_order_s
+        last_order_at = self.leadership.clock() - self.min_down_s
         for machine_id, free_at in self.others_orders.items():
             if self._is_up(machine_id):
-                self.others_orders[machine_id] = min(free_at, last_order_at + self.turn_s)
+                self.others_orders[machine_id] = min(free_at, last_order_at + self.order_gap_s)
             else:
-                self.others_orders[machine_id] = max(free_at, self.leadership.started_at + self.turn_s)
+                self.others_orders[machine_id] = max(free_at, self.leadership.started_at + self.order_gap_s)
 
     def _is_up(self, machine_id: str) -> bool:
         machine = self.machines.get(machine_id)
         return machine is not None and machine.state is MachineState.UP
 
 
-__all__ = ["MachineList"]
+__all__ = ["MachineInventory"]
--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_mover.py
@@ -20,7 +20,7 @@
     from .duration_scale import DurationScale
     from .leadership import Leadership
     from .machine_calls import MachineCalls
-    from .machine_list import MachineList
+    from .machine_inventory import MachineInventory
     from .pool_load import PoolLoad
     from .pool_plan import MachineMove
     from .vm_drainer import VmDrainer
@@ -71,7 +71,7 @@
         *,
         leadership: Leadership,
         calls: MachineCalls,
-        machines: MachineList,
+        machines: MachineInventory,
         drainer: VmDrainer,
         scale: DurationScale,
         move_s: float,
--- a/src/hyssopway/dispatch/waves.py
+++ b/src/hyssopway/dispatch/waves.py
@@ -18,7 +18,7 @@
 
     from .leadership import Leadership
     from .machine_calls import Machine, MachineCalls
-    from .machine_list import MachineList
+    from .machine_inventory import MachineInventory
     from .vm_drainer import VmDrainer
 
 STEP_S = 0.2
@@ -52,7 +52,7 @@
         *,
         leadership: Leadership,
         calls: MachineCalls,
-        machines: MachineList,
+        machines: MachineInventory,
         drainer: VmDrainer,
         maintenance_s: float,
     ) -> None:
--- a/tests/dispatch/test_machine_list.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -7,7 +7,7 @@
 from dispatch.conftest import LIMITS
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineState
-from hyssopway.dispatch.machine_list import MachineList
+from hyssopway.dispatch.machine_inventory import MachineInventory
 from hyssopway.workflow import NoteMachineOrders
 
 
@@ -28,8 +28,8 @@
 async def machines(leadership):
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
-    built = MachineList(
-        leadership=leadership, calls=FakeMachines(), turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+    built = MachineInventory(
+        leadership=leadership, calls=FakeMachines(), order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=1.0)
     return built
@@ -49,8 +49,8 @@
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     calls = FakeMachines()
     calls.states["m1"] = MachineState.MOVING
-    built = MachineList(
-        leadership=leadership, calls=calls, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+    built = MachineInventory(
+        leadership=leadership, calls=calls, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=0.0)
     leadership.now += LIMITS.turn_s - 0.1
--- a/tests/dispatch/test_maintenance.py
+++ b/tests/dispatch/test_maintenance.py
@@ -8,7 +8,7 @@
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.machine_list import GONE_S, MachineList
+from hyssopway.dispatch.machine_inventory import GONE_S, MachineInventory
 from hyssopway.dispatch.vm_drainer import VmDrainer
 from hyssopway.dispatch.waves import MAX_EMPTYING_S, Waves
 from hyssopway.workflow import RunStart, StartRuns, StartWave, Step
@@ -47,8 +47,8 @@
     link = make_link("vm-1", leadership=fleet, calls=vms)
     links = {"vm-1": link}
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
-    machines = MachineList(
-        leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+    machines = MachineInventory(
+        leadership=fleet, calls=platform, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     await fleet.propose(StartWave(number=1, machines=("m1",), deadline_ms=wall_ms() + 60_000, max_down=1))
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -10,7 +10,7 @@
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.duration_scale import DurationScale
-from hyssopway.dispatch.machine_list import MachineList
+from hyssopway.dispatch.machine_inventory import MachineInventory
 from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_mover import PoolMover
@@ -68,8 +68,8 @@
         links[name] = make_link(name, leadership=fleet, calls=vms)
         await links[name].look()
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
-    machines = MachineList(
-        leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+    machines = MachineInventory(
+        leadership=fleet, calls=platform, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     return PoolMover(
