--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -18,7 +18,7 @@
 from .machine_inventory import MachineInventory
 from .pace_history import PaceHistory
 from .pool_load import measure_pools
-from .pool_mover import PoolMover
+from .pool_rebalancer import PoolRebalancer
 from .retention import Retention
 from .vm_drainer import VmDrainer
 from .vm_link import FORGET_S, VmLink
@@ -115,7 +115,7 @@
             order_gap_s=limits.turn_s,
             min_down_s=min(limits.move_s, limits.maintenance_s),
         )
-        self.mover = PoolMover(
+        self.mover = PoolRebalancer(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_rebalancer.py
@@ -35,7 +35,7 @@
 JOIN_S = 0.4
 
 
-class PoolMover:
+class PoolRebalancer:
     """Follows the demand of all pools and moves idle machines.
 
     Attributes:
@@ -101,9 +101,9 @@
             )
             if standby and self.leadership.may_order():
                 await self.machines.refresh(max_age_s=LIST_S)
-                await self.step(standby, loads=loads)
+                await self.rebalance(standby, loads=loads)
 
-    async def step(self, standby: str, *, loads: dict[str, PoolLoad]) -> None:
+    async def rebalance(self, standby: str, *, loads: dict[str, PoolLoad]) -> None:
         """Orders the moves that the demand of all pools asks for now."""
         now = self.leadership.clock()
         self.arrivals = {key: value for key, value in self.arrivals.items() if now < value[1]}
@@ -248,4 +248,4 @@
             await self.leadership.propose(RemoveVm(vm=record.vm_id, boot=record.boot, at_ms=wall_ms()))
 
 
-__all__ = ["PoolMover"]
+__all__ = ["PoolRebalancer"]
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_rebalancer.py
@@ -13,7 +13,7 @@
 from hyssopway.dispatch.machine_inventory import MachineInventory
 from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
-from hyssopway.dispatch.pool_mover import PoolMover
+from hyssopway.dispatch.pool_rebalancer import PoolRebalancer
 from hyssopway.dispatch.vm_drainer import VmDrainer
 from workflow.conftest import make_vm
 
@@ -61,7 +61,7 @@
 
 
 @pytest.fixture
-async def mover(fleet, vms, platform):
+async def rebalancer(fleet, vms, platform):
     await fleet.propose(make_vm("vm-2"))
     links = {}
     for name in VMS:
@@ -72,7 +72,7 @@
         leadership=fleet, calls=platform, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
-    return PoolMover(
+    return PoolRebalancer(
         leadership=fleet,
         calls=platform,
         machines=machines,
@@ -83,31 +83,31 @@
     )
 
 
-async def step(mover, *, waiting_millis=0):
+async def step(rebalancer, *, waiting_millis=0):
     loads = measure_pools(
-        tables=mover.leadership.state.tables,
+        tables=rebalancer.leadership.state.tables,
         waiting_millis={"vans": waiting_millis} if waiting_millis else {},
     )
-    await mover.step("spare", loads=loads)
+    await rebalancer.rebalance("spare", loads=loads)
 
 
-async def test_pool_keeps_two_vms(mover, platform):
+async def test_pool_keeps_two_vms(rebalancer, platform):
     """Guards against machines ordered for a pool that has what it needs."""
-    await step(mover)
+    await step(rebalancer)
     assert platform.moves == []
 
 
-async def test_vm_that_is_emptied_is_replaced(mover, platform):
+async def test_vm_that_is_emptied_is_replaced(rebalancer, platform):
     """Guards against tasks that find no VM while a maintenance wave empties one of two.
 
     An emptied VM gets no starts and may have to keep long-running tasks until others are at work elsewhere.
     """
-    mover.drainer.cordon("vm-1", reason="wave 1")
-    await step(mover)
+    rebalancer.drainer.cordon("vm-1", reason="wave 1")
+    await step(rebalancer)
     assert [pool for _, pool in platform.moves] == ["vans"]
 
 
-async def test_machines_of_a_turn_are_ordered_together(mover, platform):
+async def test_machines_of_a_turn_are_ordered_together(rebalancer, platform):
     """Guards against a pool that waits for its machines while orders follow each other one by one."""
-    await step(mover, waiting_millis=8 * 8000)
+    await step(rebalancer, waiting_millis=8 * 8000)
     assert platform.at_once == len(platform.moves) == int(LIMITS.machine_orders_per_s * RATE_SHARE * KEEP_S)
