--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -22,7 +22,7 @@
 from .retention import Retention
 from .vm_drainer import VmDrainer
 from .vm_link import FORGET_S, VmLink
-from .waves import Waves
+from .wave_executor import WaveExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -124,7 +124,7 @@
             move_s=limits.move_s,
             orders_per_s=limits.machine_orders_per_s,
         )
-        self.waves = Waves(
+        self.waves = WaveExecutor(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
@@ -230,7 +230,7 @@
                 pool=pool,
                 vms=load.vms,
                 capacity=load.capacity_millis // 1000,
-                steady=load.steady_millis // 1000,
+                steady=load.long_running_millis // 1000,
                 short=load.short_millis // 1000,
                 waiting=load.waiting_millis // 1000,
             )
--- a/src/hyssopway/dispatch/demand_forecast.py
+++ b/src/hyssopway/dispatch/demand_forecast.py
@@ -63,7 +63,7 @@
         self.scale = scale
         self.demand: dict[str, float] = {}
 
-    def measure(self, *, tables: Tables, indexes: Indexes, now_ms: float) -> None:
+    def update(self, *, tables: Tables, indexes: Indexes, now_ms: float) -> None:
         """Works the demand out from all open workflows and the latest arrivals."""
         self.demand = {}
         recent: dict[str, RecentArrivals] = {}
--- a/src/hyssopway/dispatch/pool_load.py
+++ b/src/hyssopway/dispatch/pool_load.py
@@ -28,7 +28,7 @@
     vms: int = 0
     capacity_millis: int = 0
     memory_mb: int = 0
-    steady_millis: int = 0
+    long_running_millis: int = 0
     short_millis: int = 0
     steady_memory_mb: int = 0
     waiting_millis: int = 0
@@ -56,7 +56,7 @@
     if step.fills:
         return
     if step.long_running:
-        load.steady_millis += step.cpu_millis
+        load.long_running_millis += step.cpu_millis
         load.steady_memory_mb += step.memory_mb
     else:
         load.short_millis += step.cpu_millis
--- a/src/hyssopway/dispatch/pool_plan.py
+++ b/src/hyssopway/dispatch/pool_plan.py
@@ -33,7 +33,7 @@
 
     pool: str
     vms: int
-    steady_millis: int
+    long_running_millis: int
     short_millis: int
     forecast_millis: float
     step_millis: float
@@ -61,7 +61,7 @@
     """Returns the number of VMs that serve a pool's demand when a machine ordered now arrives."""
     expected = max(demand.short_millis, demand.forecast_millis)
     reserve = max(float(vm_millis), RESERVE_STEPS * demand.step_millis)
-    by_load = -(-int(demand.steady_millis + expected + reserve) // vm_millis)
+    by_load = -(-int(demand.long_running_millis + expected + reserve) // vm_millis)
     return max(MIN_VMS, demand.spread_vms, by_load)
 
 
--- a/src/hyssopway/dispatch/pool_rebalancer.py
+++ b/src/hyssopway/dispatch/pool_rebalancer.py
@@ -111,7 +111,7 @@
         if not sizes or not self.machines.machines:
             return
         state = self.leadership.state
-        self.forecast.measure(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
+        self.forecast.update(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
         self.step_sizes.follow(tables=state.tables, indexes=state.indexes)
         moves = plan_moves(
             demands=[self._describe(pool, load=load) for pool, load in loads.items() if pool != standby],
@@ -151,7 +151,7 @@
         return PoolDemand(
             pool=pool,
             vms=usable + coming,
-            steady_millis=load.steady_millis,
+            long_running_millis=load.long_running_millis,
             short_millis=load.short_millis + load.waiting_millis,
             forecast_millis=self.forecast.read(pool),
             spread_vms=self._spread_vms(pool),
--- a/src/hyssopway/dispatch/waves.py
+++ b/src/hyssopway/dispatch/wave_executor.py
@@ -25,10 +25,10 @@
 IDLE_STEP_S = 0.5
 LIST_S = 0.8
 # A VM that still has short work after this long goes down with it.
-MAX_EMPTYING_S = 8.0
+MAX_DRAIN_S = 8.0
 
 
-class Waves:
+class WaveExecutor:
     """Empties machines and orders their maintenance.
 
     Attributes:
@@ -96,7 +96,7 @@
         if closed_at is None:
             return False
         emptying_s = self.leadership.clock() - closed_at
-        if emptying_s >= MAX_EMPTYING_S:
+        if emptying_s >= MAX_DRAIN_S:
             return not self.drainer.has_long_running(machine.vm_id)
         return self.drainer.is_empty(machine.vm_id)
 
@@ -208,4 +208,4 @@
         self.drainer.uncordon(machine.vm_id)
 
 
-__all__ = ["Waves"]
+__all__ = ["WaveExecutor"]
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -158,7 +158,7 @@
     async def measure_all() -> None:
         tables, indexes = term.state.tables, term.state.indexes
         measure_pools(tables=tables, waiting_millis={})
-        forecast.measure(tables=tables, indexes=indexes, now_ms=0)
+        forecast.update(tables=tables, indexes=indexes, now_ms=0)
 
     pools_ms = await _time(measure_all)
     await _submit(term, tasks=ROUND_STARTS, name="new")
--- a/tests/dispatch/test_demand_forecast.py
+++ b/tests/dispatch/test_demand_forecast.py
@@ -26,7 +26,7 @@
     forecast = DemandForecast(ahead_s=AHEAD_S, scale=lambda _: scale)
     state = fleet.state
     del state.indexes.open_workflows["w"]  # the workflow of the fixture
-    forecast.measure(tables=state.tables, indexes=state.indexes, now_ms=now_ms)
+    forecast.update(tables=state.tables, indexes=state.indexes, now_ms=now_ms)
     return forecast.read("vans")
 
 
--- a/tests/dispatch/test_pool_plan.py
+++ b/tests/dispatch/test_pool_plan.py
@@ -13,7 +13,7 @@
     return PoolDemand(
         pool=pool,
         vms=vms,
-        steady_millis=steady,
+        long_running_millis=steady,
         short_millis=short,
         forecast_millis=forecast,
         step_millis=step,
--- a/tests/dispatch/test_maintenance.py
+++ b/tests/dispatch/test_wave_executor.py
@@ -10,7 +10,7 @@
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.machine_inventory import GONE_S, MachineInventory
 from hyssopway.dispatch.vm_drainer import VmDrainer
-from hyssopway.dispatch.waves import MAX_EMPTYING_S, Waves
+from hyssopway.dispatch.wave_executor import MAX_DRAIN_S, WaveExecutor
 from hyssopway.workflow import RunStart, StartRuns, StartWave, Step
 from workflow.conftest import make_workflow
 
@@ -52,7 +52,7 @@
     )
     await machines.refresh(max_age_s=1.0)
     await fleet.propose(StartWave(number=1, machines=("m1",), deadline_ms=wall_ms() + 60_000, max_down=1))
-    return Waves(
+    return WaveExecutor(
         leadership=fleet,
         calls=platform,
         machines=machines,
@@ -86,7 +86,7 @@
 async def test_short_work_holds_a_wave_up_for_a_bounded_time(waves, platform, fleet):
     """Guards against one task that keeps a wave from ending."""
     await run_task(fleet, Step(count=1))
-    await advance(waves, seconds=MAX_EMPTYING_S - 2)
+    await advance(waves, seconds=MAX_DRAIN_S - 2)
     assert platform.orders == []
     await advance(waves, seconds=5)
     assert platform.orders == ["m1"]
@@ -95,7 +95,7 @@
 async def test_long_running_task_is_never_ended_by_maintenance(waves, platform, fleet):
     """Guards against an interruption beyond the allowance of the step after a long wait."""
     await run_task(fleet, Step(count=3, long_running=True, disruption_allowance=1))
-    await advance(waves, seconds=MAX_EMPTYING_S * 3)
+    await advance(waves, seconds=MAX_DRAIN_S * 3)
     assert platform.orders == []
 
 
