--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -112,7 +112,7 @@
         machine_list = MachineInventory(
             leadership=leadership,
             calls=machines,
-            order_gap_s=limits.turn_s,
+            machine_lease_s=limits.turn_s,
             min_down_s=min(limits.move_s, limits.maintenance_s),
         )
         self.mover = PoolRebalancer(
--- a/src/hyssopway/dispatch/machine_inventory.py
+++ b/src/hyssopway/dispatch/machine_inventory.py
@@ -42,17 +42,17 @@
         "calls",
         "leadership",
         "listed_at",
+        "machine_lease_s",
         "machines",
         "min_down_s",
         "missing_since",
-        "order_gap_s",
         "ordered",
         "others_orders",
         "tried_at",
     )
 
     def __init__(
-        self, *, leadership: Leadership, calls: MachineCalls, order_gap_s: float, min_down_s: float
+        self, *, leadership: Leadership, calls: MachineCalls, machine_lease_s: float, min_down_s: float
     ) -> None:
         self.leadership = leadership
         self.calls = calls
@@ -61,12 +61,12 @@
         self.missing_since: dict[str, float] = {}
         self.tried_at = float("-inf")
         self.ordered: dict[str, float] = {}
-        self.order_gap_s = order_gap_s
+        self.machine_lease_s = machine_lease_s
         self.min_down_s = min_down_s
-        recent_ms = wall_ms() - (order_gap_s + WALL_CLOCK_SLACK_S) * 1000
+        recent_ms = wall_ms() - (machine_lease_s + WALL_CLOCK_SLACK_S) * 1000
         orders = leadership.state.tables.machine_orders
         self.others_orders = {
-            machine_id: leadership.started_at + order_gap_s
+            machine_id: leadership.started_at + machine_lease_s
             for machine_id, at_ms in orders.items()
             if at_ms > recent_ms
         }
@@ -121,9 +121,11 @@
         last_order_at = self.leadership.clock() - self.min_down_s
         for machine_id, free_at in self.others_orders.items():
             if self._is_up(machine_id):
-                self.others_orders[machine_id] = min(free_at, last_order_at + self.order_gap_s)
+                self.others_orders[machine_id] = min(free_at, last_order_at + self.machine_lease_s)
             else:
-                self.others_orders[machine_id] = max(free_at, self.leadership.started_at + self.order_gap_s)
+                self.others_orders[machine_id] = max(
+                    free_at, self.leadership.started_at + self.machine_lease_s
+                )
 
     def _is_up(self, machine_id: str) -> bool:
         machine = self.machines.get(machine_id)
--- a/tests/dispatch/test_machine_inventory.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -29,7 +29,7 @@
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineInventory(
-        leadership=leadership, calls=FakeMachines(), order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=leadership, calls=FakeMachines(), machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=1.0)
     return built
@@ -50,7 +50,7 @@
     calls = FakeMachines()
     calls.states["m1"] = MachineState.MOVING
     built = MachineInventory(
-        leadership=leadership, calls=calls, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=leadership, calls=calls, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=0.0)
     leadership.now += LIMITS.turn_s - 0.1
--- a/tests/dispatch/test_pool_rebalancer.py
+++ b/tests/dispatch/test_pool_rebalancer.py
@@ -69,7 +69,7 @@
         await links[name].look()
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineInventory(
-        leadership=fleet, calls=platform, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=fleet, calls=platform, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     return PoolRebalancer(
--- a/tests/dispatch/test_wave_executor.py
+++ b/tests/dispatch/test_wave_executor.py
@@ -48,7 +48,7 @@
     links = {"vm-1": link}
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineInventory(
-        leadership=fleet, calls=platform, order_gap_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=fleet, calls=platform, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     await fleet.propose(StartWave(number=1, machines=("m1",), deadline_ms=wall_ms() + 60_000, max_down=1))
