--- a/src/hyssopway/dispatch/advice_fetcher.py
+++ b/src/hyssopway/dispatch/advice_fetcher.py
@@ -10,7 +10,7 @@
 
 from .advice_calls import AdviceError
 from .advice_plan import AdvisedStep, choose_question, is_near
-from .ordering import order_occurrence
+from .ordering import service_order_key
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -128,7 +128,7 @@
             return []
         found = []
         for occurrence, steps in workflow.progress.items():
-            order = order_occurrence(
+            order = service_order_key(
                 workflow=workflow, occurrence=occurrence, queue=queue, now_ms=self.wall_ms()
             )
             for number, progress in enumerate(steps):
--- a/src/hyssopway/dispatch/advice_plan.py
+++ b/src/hyssopway/dispatch/advice_plan.py
@@ -86,14 +86,14 @@
         for room in rooms.get(one.pool, ()):
             boot = boots[room.vm_id]
             if tickets.read(one.name, vm=room.vm_id, boot=boot):
-                placeable += room.count_tasks(one.step)
+                placeable += room.max_tasks(one.step)
             elif not tickets.is_refused(one.name, vm=room.vm_id, boot=boot):
                 unknown.append(room)
         lacking = one.waiting - placeable
         if lacking <= 0 or not unknown:
             continue
-        unknown.sort(key=lambda room: -room.count_tasks(one.step))
-        a_vm = max(1, unknown[0].count_tasks(one.step))
+        unknown.sort(key=lambda room: -room.max_tasks(one.step))
+        a_vm = max(1, unknown[0].max_tasks(one.step))
         wanted = math.ceil(lacking / a_vm / good_share)
         chosen = unknown[: min(MAX_VMS_A_QUESTION, wanted)]
         return Question(step=one, vms={room.vm_id: boots[room.vm_id] for room in chosen})
--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Places waiting tasks and orders their starts and stops, on behalf of one leader."""
+"""Scheduling rounds of one leader: places waiting tasks and orders starts and stops of runs."""
 
 from __future__ import annotations
 
@@ -22,29 +22,29 @@
     from .ready_step import ReadyStep
     from .vm_link import VmLink
 
-# Collects what arrives at nearly the same time into one agreed change.
-ROUND_PAUSE_S = 0.004
-# Longest time between two rounds: leases end and pauses are over without an event.
-IDLE_ROUND_S = 0.25
-# Bounds the size of one agreed change.
-MAX_STARTS_A_ROUND = 400
-MAX_SUSPICION = 5
-# Readers of logs cut lines that are much longer than 8 KB.
-RUNS_A_LINE = 50
+# Batches changes that arrive close together into one replicated command.
+BATCH_DELAY_S = 0.004
+# Longest time between two rounds: leases and pauses expire without an event.
+MAX_ROUND_INTERVAL_S = 0.25
+# Bounds the size of one replicated command.
+MAX_STARTS_PER_ROUND = 400
+MAX_COUNTED_FAILURES = 5
+# Log readers truncate lines that are much longer than 8 KB.
+MAX_RUNS_PER_LOG_LINE = 50
 
 
 class Dispatcher:
-    """Runs rounds of placement while a term lasts.
+    """Runs scheduling rounds while the leader's term lasts.
 
     Attributes:
-        leadership: The term.
-        links: VMs by identity.
-        cordoned_vms: VMs that get no starts because they are being emptied.
-        awaiting_maintenance: VMs whose machine waits for its maintenance.
-        waiting_millis: Processor by pool that waited after the last round.
+        leadership: Term on whose behalf runs are started.
+        links: Links to VMs by VM ID.
+        cordoned_vms: IDs of VMs that get no starts because they are being drained.
+        awaiting_maintenance: IDs of VMs whose machine still waits for the maintenance of an open wave.
+        waiting_millis: CPU demand of tasks left waiting by the last round, in millicores by pool.
         tickets: Tickets of steps whose queue has an advisor.
-        changed: Set when a round may find something to do.
-        sending: Orders in progress.
+        changed: Set when a new round may find something to do.
+        sending: Start orders in progress.
     """
 
     __slots__ = (
@@ -69,30 +69,32 @@
         self.sending: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Runs rounds until the term ends."""
+        """Runs scheduling rounds until the term ends."""
         while self.leadership.holds:
             await self._wait_for_change()
             self.changed.clear()
             if not self.leadership.may_order():
                 continue
-            self._stop_unwanted()
+            self._stop_unneeded_runs()
             await self._add_due_occurrences()
             await self.run_round()
 
     async def _wait_for_change(self) -> None:
         try:
-            async with asyncio.timeout(IDLE_ROUND_S):
+            async with asyncio.timeout(MAX_ROUND_INTERVAL_S):
                 await self.changed.wait()
         except TimeoutError:
             return
-        await asyncio.sleep(ROUND_PAUSE_S)
+        await asyncio.sleep(BATCH_DELAY_S)
 
-    def _stop_unwanted(self) -> None:
+    def _stop_unneeded_runs(self) -> None:
         for key, vm in list(self.leadership.state.indexes.unwanted.items()):
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
-                link.orders.ask_stop(task=task, run=int(run), reason="its task needs it no more")
+                link.orders.ask_stop(
+                    task=task, run=int(run), reason="its task does not need the run any more"
+                )
 
     async def _add_due_occurrences(self) -> None:
         state = self.leadership.state
@@ -101,26 +103,27 @@
             await self.leadership.propose(AddOccurrence(workflow_id=workflow_id, occurrence=occurrence))
 
     async def run_round(self) -> None:
-        """Runs one round: places waiting tasks, agrees on their starts and orders them."""
+        """Runs one round: places waiting tasks, replicates their starts and sends them to the VMs."""
         state = self.leadership.state
         ready = find_ready_steps(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
         self.waiting_millis = {}
         if not ready:
             return
-        self._approve_advised(ready)
-        limits = _TeamLimits(self.leadership)
+        self._set_approved_vms(ready)
+        team_usage = _TeamUsage(self.leadership)
         starts = place_steps(
             steps=ready,
-            rooms=self.list_free_capacity(),
-            pool_of=lambda one: state.tables.queue_pools.get(one.workflow.queue, ""),
-            takes_limit=limits.take,
-            max_starts=MAX_STARTS_A_ROUND,
+            free_by_pool=self.list_free_capacity(),
+            pool_of=lambda ready_step: state.tables.queue_pools.get(ready_step.workflow.queue, ""),
+            reserve_for_team=team_usage.reserve,
+            max_starts=MAX_STARTS_PER_ROUND,
         )
-        self._count_waiting(ready, starts=starts)
+        self._update_waiting_millis(ready, starts=starts)
         if not starts:
             return
         for start in starts:
-            # Known before it is agreed: a listing that arrives in between must not settle it.
+            # Registered before the command is applied, so that a list of the VM's runs that arrives in between
+            # does not count the run as ended because it lacks it.
             self.links[start.vm].orders.expect_start(task=start.task, run=start.run)
         await self.leadership.propose(StartRuns(fencing_token=self.leadership.term, starts=tuple(starts)))
         self._log_starts(starts)
@@ -128,13 +131,13 @@
             self._order_start(start)
 
     def _log_starts(self, starts: list[RunStart]) -> None:
-        for first in range(0, len(starts), RUNS_A_LINE):
-            part = starts[first : first + RUNS_A_LINE]
+        for offset in range(0, len(starts), MAX_RUNS_PER_LOG_LINE):
+            batch = starts[offset : offset + MAX_RUNS_PER_LOG_LINE]
             log_event(
                 Event.RUNS_ORDERED,
-                count=len(part),
-                runs={f"{start.task}/{start.run}": start.vm for start in part},
-                answer_age_ms=self._answer_ages_ms(part),
+                count=len(batch),
+                runs={f"{start.task}/{start.run}": start.vm for start in batch},
+                answer_age_ms=self._answer_ages_ms(batch),
             )
 
     def _answer_ages_ms(self, starts: list[RunStart]) -> dict[str, int]:
@@ -142,30 +145,33 @@
         links = {start.vm: self.links[start.vm] for start in starts if start.vm in self.links}
         return {vm: round((now - link.answered_at) * 1000) for vm, link in links.items()}
 
-    def _count_waiting(self, ready: list[ReadyStep], *, starts: list[RunStart]) -> None:
+    def _update_waiting_millis(self, ready: list[ReadyStep], *, starts: list[RunStart]) -> None:
         started = Counter(start.task.rpartition(".")[0] for start in starts)
-        for one in ready:
-            pool = self.leadership.state.tables.queue_pools.get(one.workflow.queue, "")
-            step_name = TaskId(one.workflow.workflow_id, one.occurrence, one.number, 0).step_name
-            waiting = len(one.indexes) - started[step_name]
-            total = self.waiting_millis.get(pool, 0) + waiting * one.step.cpu_millis
+        for ready_step in ready:
+            pool = self.leadership.state.tables.queue_pools.get(ready_step.workflow.queue, "")
+            step_name = TaskId(
+                ready_step.workflow.workflow_id, ready_step.occurrence, ready_step.number, 0
+            ).step_name
+            waiting = len(ready_step.indexes) - started[step_name]
+            total = self.waiting_millis.get(pool, 0) + waiting * ready_step.step.cpu_millis
             if total:
                 self.waiting_millis[pool] = total
 
     def _order_start(self, start: RunStart) -> None:
         run = next(
             (
-                one
-                for one in self.leadership.state.tables.runs.get(start.task, ())
-                if one.run == start.run and one.vm == start.vm
+                active
+                for active in self.leadership.state.tables.runs.get(start.task, ())
+                if active.run == start.run and active.vm == start.vm
             ),
             None,
         )
         link = self.links.get(start.vm)
         if link is None:
-            return  # the VM left
+            return  # the VM was removed
         if run is None:
-            link.orders.drop_start(task=start.task, run=start.run)  # not allowed any more when it was applied
+            # The command no longer allowed the start when it was applied.
+            link.orders.drop_start(task=start.task, run=start.run)
             return
         sending = asyncio.create_task(self._send(run, link=link))
         self.sending.add(sending)
@@ -187,24 +193,26 @@
             needs_ticket=queue is not None and queue.advisor is not None,
         )
 
-    def _approve_advised(self, ready: list[ReadyStep]) -> None:
+    def _set_approved_vms(self, ready: list[ReadyStep]) -> None:
         tables, queues = self.leadership.state.tables, self.leadership.state.indexes.queues
-        for one in ready:
-            queue = queues.get(one.workflow.queue)
+        for ready_step in ready:
+            queue = queues.get(ready_step.workflow.queue)
             if queue is None or queue.advisor is None:
                 continue
-            name = TaskId(one.workflow.workflow_id, one.occurrence, one.number, 0).step_name
-            one.approved_vms = frozenset(
+            name = TaskId(
+                ready_step.workflow.workflow_id, ready_step.occurrence, ready_step.number, 0
+            ).step_name
+            ready_step.approved_vms = frozenset(
                 vm_id
                 for vm_id, vm in tables.vms.items()
                 if vm.pool == queue.pool and self.tickets.read(name, vm=vm_id, boot=vm.boot)
             )
 
     def list_free_capacity(self) -> dict[str, list[FreeCapacity]]:
-        """Returns the free capacity of VMs that take starts, by pool."""
+        """Returns the free capacity of the VMs that may get starts, by pool."""
         tables = self.leadership.state.tables
         now = self.leadership.clock()
-        rooms: dict[str, list[FreeCapacity]] = {}
+        free_by_pool: dict[str, list[FreeCapacity]] = {}
         for vm_id, record in tables.vms.items():
             link = self.links.get(vm_id)
             if link is None or not link.in_contact(now) or now < link.orders.paused_until:
@@ -212,51 +220,62 @@
             if record.draining or record.zone in tables.evacuated or vm_id in self.cordoned_vms:
                 continue
             use = self.leadership.state.indexes.vm_use.get(vm_id)
-            rooms.setdefault(record.pool, []).append(
-                _describe_room(
-                    record, use=use, failures=link.failures, is_due=vm_id in self.awaiting_maintenance
+            free_by_pool.setdefault(record.pool, []).append(
+                _compute_free_capacity(
+                    record,
+                    use=use,
+                    failures=link.failures,
+                    awaits_maintenance=vm_id in self.awaiting_maintenance,
                 )
             )
-        return rooms
+        return free_by_pool
+
 
+class _TeamUsage:
+    """Counts the starts of one round against the upper limits of their teams.
 
-class _TeamLimits:
-    """Counts the starts of one round against the upper limits of teams."""
+    Attributes:
+        leadership: Term whose replicated state has the limits and the usage.
+        reserved: Millicores, megabytes of memory and accelerators of the starts of this round, by team.
+    """
 
-    __slots__ = ("leadership", "taken")
+    __slots__ = ("leadership", "reserved")
 
     def __init__(self, leadership: Leadership) -> None:
         self.leadership = leadership
-        self.taken: dict[str, list[int]] = {}
+        self.reserved: dict[str, list[int]] = {}
 
-    def take(self, ready: ReadyStep) -> bool:
-        """Counts one more task, or tells that its team is at its limit."""
+    def reserve(self, ready: ReadyStep) -> bool:
+        """Counts one more task of a step; returns False when its team would exceed its upper limit."""
         indexes = self.leadership.state.indexes
         team = indexes.teams.get(ready.workflow.team)
         if team is None:
             return True
         use = indexes.team_use.get(team.name)
-        taken = self.taken.setdefault(team.name, [0, 0, 0])
+        reserved = self.reserved.setdefault(team.name, [0, 0, 0])
         step = ready.step
-        wanted = [
-            taken[0] + step.cpu_millis + (use.cpu_millis if use else 0),
-            taken[1] + step.memory_mb + (use.memory_mb if use else 0),
-            taken[2] + step.accelerators + (use.accelerators if use else 0),
+        total = [
+            reserved[0] + step.cpu_millis + (use.cpu_millis if use else 0),
+            reserved[1] + step.memory_mb + (use.memory_mb if use else 0),
+            reserved[2] + step.accelerators + (use.accelerators if use else 0),
         ]
-        if not _within(wanted, limit=team.upper_limit):
+        if not _is_within(total, limit=team.upper_limit):
             return False
-        taken[0] += step.cpu_millis
-        taken[1] += step.memory_mb
-        taken[2] += step.accelerators
+        reserved[0] += step.cpu_millis
+        reserved[1] += step.memory_mb
+        reserved[2] += step.accelerators
         return True
 
 
-def _within(amounts: list[int], *, limit: Capacity) -> bool:
+def _is_within(amounts: list[int], *, limit: Capacity) -> bool:
+    # A limit of 0 means no limit.
     limits = (limit.cpu_millis, limit.memory_mb, limit.accelerators)
     return all(not most or amount <= most for amount, most in zip(amounts, limits, strict=True))
 
 
-def _describe_room(record: VmRecord, *, use: Usage | None, failures: int, is_due: bool) -> FreeCapacity:
+def _compute_free_capacity(
+    record: VmRecord, *, use: Usage | None, failures: int, awaits_maintenance: bool
+) -> FreeCapacity:
     capacity = record.capacity
     return FreeCapacity(
         vm_id=record.vm_id,
@@ -266,9 +285,9 @@
         memory_mb=capacity.memory_mb - (use.memory_mb if use else 0),
         accelerators=capacity.accelerators - (use.accelerators if use else 0),
         serving=use.serving if use else 0,
-        filling=use.filling if use else 0,
-        suspicion=min(failures, MAX_SUSPICION),
-        is_due=is_due,
+        best_effort=use.filling if use else 0,
+        recent_failures=min(failures, MAX_COUNTED_FAILURES),
+        awaits_maintenance=awaits_maintenance,
     )
 
 
--- a/src/hyssopway/dispatch/free_capacity.py
+++ b/src/hyssopway/dispatch/free_capacity.py
@@ -1,4 +1,4 @@
-"""What a VM can still take."""
+"""Free capacity of a VM."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class FreeCapacity:
-    """Free capacity of a VM during one round of placement.
+    """Free capacity of a VM during one scheduling round; each placement reduces it.
 
     Attributes:
-        vm_id: The VM.
-        zone: Its zone.
-        labels: Kind and rack.
-        cpu_millis: Free processor.
-        memory_mb: Free memory.
+        vm_id: ID of the VM.
+        zone: Availability zone.
+        labels: Kind and rack of the VM.
+        cpu_millis: Free CPU in millicores.
+        memory_mb: Free memory in megabytes.
         accelerators: Free accelerators.
-        serving: Runs there that must keep a target of their response times.
-        filling: Runs there that use only the processor that others leave.
-        is_due: Whether its machine waits for its maintenance, so that what starts there is interrupted soon.
-        suspicion: Runs that failed there in a row; the lowest is used first.
+        serving: Latency-bound runs on the VM.
+        best_effort: Best-effort runs on the VM; they use only CPU time that other runs leave.
+        recent_failures: Consecutive runs that failed on the VM; VMs with fewer failures are preferred.
+        awaits_maintenance: Whether the machine awaits maintenance, which soon interrupts what runs on it.
     """
 
     vm_id: str
@@ -33,12 +33,12 @@
     memory_mb: int
     accelerators: int
     serving: int = 0
-    filling: int = 0
-    suspicion: int = 0
-    is_due: bool = False
+    best_effort: int = 0
+    recent_failures: int = 0
+    awaits_maintenance: bool = False
 
     def fits(self, step: Step) -> bool:
-        """Tells whether one more task of a step fits."""
+        """Returns whether one more task of a step fits."""
         return (
             (step.fills or step.cpu_millis <= self.cpu_millis)
             and step.memory_mb <= self.memory_mb
@@ -46,8 +46,8 @@
             and (not step.label or step.label in self.labels)
         )
 
-    def count_tasks(self, step: Step) -> int:
-        """Returns how many tasks of a step fit."""
+    def max_tasks(self, step: Step) -> int:
+        """Returns how many tasks of a step fit, within the step's spread limit."""
         if not self.fits(step):
             return 0
         counts = [step.count]
@@ -61,8 +61,8 @@
             counts.append(step.spread_limit)
         return min(counts)
 
-    def take(self, step: Step) -> None:
-        """Takes the room of one task."""
+    def reserve(self, step: Step) -> None:
+        """Subtracts the resources of one task."""
         if not step.fills:
             self.cpu_millis -= step.cpu_millis
         self.memory_mb -= step.memory_mb
--- a/src/hyssopway/dispatch/ordering.py
+++ b/src/hyssopway/dispatch/ordering.py
@@ -1,8 +1,9 @@
-"""Decides in which order waiting steps are served.
+"""Order in which waiting steps are served, and the estimates that it depends on.
 
-Answers the load pattern of a queue that asks for several times what its pool holds: long-running tasks come first,
-since each second without them is lost; then workflows that can still end within their objective, the least
-remaining work first, so that what was begun is finished; then those that end late; then those whose time is over.
+The order is made for queues that request several times the capacity of their pool. Long-running tasks come first,
+because each second without them is lost. Then come workflows that can still meet their latency objective, the
+shortest remaining work first, so that started workflows are finished; then those that miss it; and last those that
+are overdue.
 """
 
 from __future__ import annotations
@@ -13,8 +14,8 @@
 if TYPE_CHECKING:
     from hyssopway.workflow import Queue, StepProgress, Workflow, WorkflowSpec
 
-# An end later than this many objectives is worth nothing to the submitter.
-LATE_FACTOR = 3.0
+# A result later than this multiple of the objective is worth nothing to the submitter.
+OVERDUE_FACTOR = 3.0
 
 LONG_RUNNING_TIER = 0.0
 IN_TIME_TIER = 1.0
@@ -24,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StepSpan:
-    """When the open tasks of a step run if nothing holds them up.
+    """Estimated time span in which the open tasks of a step run if nothing delays them.
 
     Attributes:
-        start_ms: Begin, from now on.
-        end_ms: End, from now on.
-        cpu_millis: Processor of these tasks together.
+        start_ms: Milliseconds from now until the start.
+        end_ms: Milliseconds from now until the end.
+        cpu_millis: CPU of these tasks together in millicores.
     """
 
     start_ms: float
@@ -38,14 +39,14 @@
 
 
 def objective_ms(*, spec: WorkflowSpec, queue: Queue | None) -> float:
-    """Returns the time from hand-in to end within which a workflow should end."""
+    """Returns the latency objective of a workflow, from acceptance to end, in milliseconds; 0 without a queue."""
     if queue is None:
         return 0.0
-    return queue.stretch * chain_ms(spec=spec, progress=None) + queue.target_latency_ms
+    return queue.stretch * critical_path_ms(spec=spec, progress=None) + queue.target_latency_ms
 
 
-def chain_ms(*, spec: WorkflowSpec, progress: list[StepProgress] | None) -> float:
-    """Returns the longest chain of estimated work, without steps that are done."""
+def critical_path_ms(*, spec: WorkflowSpec, progress: list[StepProgress] | None) -> float:
+    """Returns the length of the critical path in milliseconds: the longest chain of estimates of steps not yet done."""
     ends: list[float] = []
     for number, step in enumerate(spec.steps):
         start = max((ends[earlier] for earlier in step.after), default=0.0)
@@ -57,9 +58,14 @@
 def remaining_steps(
     *, spec: WorkflowSpec, progress: list[StepProgress] | None, scale: float
 ) -> list[StepSpan]:
-    """Returns when the short steps that are left run; without `progress`, those of a fresh workflow.
+    """Returns the estimated time spans of the remaining steps, without long-running and best-effort steps.
 
-    A step of which tasks run is taken to be half done.
+    A step with running tasks counts as half done.
+
+    Args:
+        spec: Specification of the workflow.
+        progress: Progress by step; None for a workflow that has not started.
+        scale: Factor from declared to actual durations.
     """
     ends: list[float] = []
     spans: list[StepSpan] = []
@@ -77,38 +83,38 @@
 
 
 def remaining_core_s(*, spec: WorkflowSpec, progress: list[StepProgress]) -> float:
-    """Returns the estimated work that is left, in core-seconds."""
+    """Returns the estimated remaining work in core-seconds."""
     return sum(
         state.open_count * step.cpu_millis * step.estimate_ms / 1e6
         for step, state in zip(spec.steps, progress, strict=True)
     )
 
 
-def order_occurrence(
+def service_order_key(
     *, workflow: Workflow, occurrence: int, queue: Queue | None, now_ms: float
 ) -> tuple[float, ...]:
-    """Returns the sort key of an occurrence; the lowest is served first."""
+    """Returns the sort key of an occurrence of a workflow; the lowest is served first."""
     spec = workflow.spec
     progress = workflow.progress[occurrence]
     priority = float(queue.priority) if queue is not None else 0.0
-    begun_ms = spec.due_ms(occurrence) or workflow.accepted_ms
+    started_ms = spec.due_ms(occurrence) or workflow.accepted_ms
     if any(step.long_running for step in spec.steps):
-        return (LONG_RUNNING_TIER, priority, begun_ms)
+        return (LONG_RUNNING_TIER, priority, started_ms)
     objective = objective_ms(spec=spec, queue=queue)
-    expected_ms = now_ms - begun_ms + chain_ms(spec=spec, progress=progress)
+    expected_latency_ms = now_ms - started_ms + critical_path_ms(spec=spec, progress=progress)
     tier = IN_TIME_TIER
-    if expected_ms > LATE_FACTOR * objective:
+    if expected_latency_ms > OVERDUE_FACTOR * objective:
         tier = OVERDUE_TIER
-    elif expected_ms > objective:
+    elif expected_latency_ms > objective:
         tier = LATE_TIER
-    return (tier, priority, remaining_core_s(spec=spec, progress=progress), begun_ms)
+    return (tier, priority, remaining_core_s(spec=spec, progress=progress), started_ms)
 
 
 __all__ = [
     "StepSpan",
-    "chain_ms",
+    "critical_path_ms",
     "objective_ms",
-    "order_occurrence",
     "remaining_core_s",
     "remaining_steps",
+    "service_order_key",
 ]
--- a/src/hyssopway/dispatch/placement.py
+++ b/src/hyssopway/dispatch/placement.py
@@ -1,7 +1,7 @@
-"""Decides on which VM each waiting task starts.
+"""Placement of waiting tasks on VMs.
 
-Answers the load pattern of queues that ask in turn for several times what their pool holds: steps are served in a
-given order, and a task goes to the fullest VM that has room for it, so that whole VMs stay free for wide tasks or can
+Placement is best fit: steps are served in a given order, and a task goes to the VM with the least free CPU that still
+fits it. Queues request several times the capacity of their pool in bursts; whole VMs stay free for large tasks, or can
 leave the pool.
 """
 
@@ -23,129 +23,148 @@
 def place_steps(
     *,
     steps: Iterable[ReadyStep],
-    rooms: dict[str, list[FreeCapacity]],
+    free_by_pool: dict[str, list[FreeCapacity]],
     pool_of: Callable[[ReadyStep], str],
-    takes_limit: Callable[[ReadyStep], bool],
+    reserve_for_team: Callable[[ReadyStep], bool],
     max_starts: int,
 ) -> list[RunStart]:
     """Places waiting tasks.
 
     Args:
-        steps: Steps in the order in which they are served.
-        rooms: Free capacity by pool; changed by each placement.
+        steps: Steps in the order of service.
+        free_by_pool: Free capacity of VMs by pool; reduced by each placement.
         pool_of: Returns the pool of a step.
-        takes_limit: Counts one more task against the upper limit of its team, or tells that it does not fit.
-        max_starts: Most starts of one round.
+        reserve_for_team: Counts one more task against the upper limit of its team; returns False when the limit
+            does not allow it.
+        max_starts: Number of starts after which no further step is placed; a gang may exceed it.
 
     Returns:
         Starts with the next run number of each task.
     """
     starts: list[RunStart] = []
     for ready in steps:
-        found = rooms.get(pool_of(ready))
-        if not found:
+        vms = free_by_pool.get(pool_of(ready))
+        if not vms:
             continue
         if ready.step.gang:
-            starts += _place_gang(ready, rooms=found, takes_limit=takes_limit)
+            starts += _place_gang(ready, vms=vms, reserve_for_team=reserve_for_team)
         else:
-            starts += _place_tasks(ready, rooms=found, takes_limit=takes_limit, most=max_starts - len(starts))
+            starts += _place_tasks(
+                ready, vms=vms, reserve_for_team=reserve_for_team, max_starts=max_starts - len(starts)
+            )
         if len(starts) >= max_starts:
             break
     return starts
 
 
 def _place_tasks(
-    ready: ReadyStep, *, rooms: list[FreeCapacity], takes_limit: Callable[[ReadyStep], bool], most: int
+    ready: ReadyStep,
+    *,
+    vms: list[FreeCapacity],
+    reserve_for_team: Callable[[ReadyStep], bool],
+    max_starts: int,
 ) -> list[RunStart]:
     starts: list[RunStart] = []
-    for index in ready.indexes[: max(0, most)]:
-        room = _choose(ready, rooms=rooms)
-        if room is None or not takes_limit(ready):
+    for index in ready.indexes[: max(0, max_starts)]:
+        vm = _choose_vm(ready, vms=vms)
+        if vm is None or not reserve_for_team(ready):
             break
-        starts.append(_take(ready, room=room, index=index))
+        starts.append(_assign(ready, vm=vm, index=index))
     return starts
 
 
 def _place_gang(
-    ready: ReadyStep, *, rooms: list[FreeCapacity], takes_limit: Callable[[ReadyStep], bool]
+    ready: ReadyStep, *, vms: list[FreeCapacity], reserve_for_team: Callable[[ReadyStep], bool]
 ) -> list[RunStart]:
     if len(ready.indexes) < ready.step.count:
-        return []  # members of the former run have not all ended
-    racks = sorted({label for room in rooms for label in room.labels})
-    groups = [[room for room in rooms if rack in room.labels] for rack in racks]
-    for group in (*groups, rooms) if ready.step.tightly_coupled else (rooms,):
-        chosen = _try_gang(ready, rooms=group)
-        if chosen is not None and all(takes_limit(ready) for _ in chosen):
+        return []  # some members of the previous run have not ended
+    # VMs have labels for their kind and for their rack, so there is a group for each kind, too.
+    racks = sorted({label for vm in vms for label in vm.labels})
+    groups = [[vm for vm in vms if rack in vm.labels] for rack in racks]
+    for group in (*groups, vms) if ready.step.tightly_coupled else (vms,):
+        chosen = _find_gang_vms(ready, vms=group)
+        if chosen is not None and all(reserve_for_team(ready) for _ in chosen):
             return [
-                _take(ready, room=room, index=index, run=_gang_run(ready))
-                for index, room in zip(ready.indexes, chosen, strict=True)
+                _assign(ready, vm=vm, index=index, run=_next_gang_run(ready))
+                for index, vm in zip(ready.indexes, chosen, strict=True)
             ]
     return []
 
 
-def _try_gang(ready: ReadyStep, *, rooms: list[FreeCapacity]) -> list[FreeCapacity] | None:
-    free = {room.vm_id: [room.cpu_millis, room.memory_mb, room.accelerators] for room in rooms}
+def _find_gang_vms(ready: ReadyStep, *, vms: list[FreeCapacity]) -> list[FreeCapacity] | None:
+    """Returns a VM for each member of a gang, or None when the VMs do not fit all of them."""
+    free = {vm.vm_id: [vm.cpu_millis, vm.memory_mb, vm.accelerators] for vm in vms}
     placed = dict(ready.placed)
     step = ready.step
     chosen: list[FreeCapacity] = []
     for _ in ready.indexes:
-        for room in sorted(rooms, key=lambda room: -free[room.vm_id][0]):
-            cpu, memory, accelerators = free[room.vm_id]
-            spread_ok = not step.spread_limit or placed.get(room.vm_id, 0) < step.spread_limit
-            label_ok = not step.label or step.label in room.labels
-            label_ok = label_ok and ready.is_approved(room.vm_id)
+        for vm in sorted(vms, key=lambda vm: -free[vm.vm_id][0]):
+            cpu, memory, accelerators = free[vm.vm_id]
+            spread_ok = not step.spread_limit or placed.get(vm.vm_id, 0) < step.spread_limit
+            is_allowed = not step.label or step.label in vm.labels
+            is_allowed = is_allowed and ready.is_approved(vm.vm_id)
             fits = cpu >= step.cpu_millis and memory >= step.memory_mb and accelerators >= step.accelerators
-            if fits and spread_ok and label_ok:
-                free[room.vm_id] = [
+            if fits and spread_ok and is_allowed:
+                free[vm.vm_id] = [
                     cpu - step.cpu_millis,
                     memory - step.memory_mb,
                     accelerators - step.accelerators,
                 ]
-                placed[room.vm_id] = placed.get(room.vm_id, 0) + 1
-                chosen.append(room)
+                placed[vm.vm_id] = placed.get(vm.vm_id, 0) + 1
+                chosen.append(vm)
                 break
         else:
             return None
     return chosen
 
 
-def _gang_run(ready: ReadyStep) -> int:
+def _next_gang_run(ready: ReadyStep) -> int:
+    """Returns the run number that all members of a gang share."""
     return max(ready.workflow.progress[ready.occurrence][ready.number].last_run) + 1
 
 
-def _take(ready: ReadyStep, *, room: FreeCapacity, index: int, run: int | None = None) -> RunStart:
-    room.take(ready.step)
-    ready.placed[room.vm_id] = ready.placed.get(room.vm_id, 0) + 1
+def _assign(ready: ReadyStep, *, vm: FreeCapacity, index: int, run: int | None = None) -> RunStart:
+    vm.reserve(ready.step)
+    ready.placed[vm.vm_id] = ready.placed.get(vm.vm_id, 0) + 1
     progress = ready.workflow.progress[ready.occurrence][ready.number]
     task = TaskId(ready.workflow.workflow_id, ready.occurrence, ready.number, index)
-    return RunStart(task=task.name, run=progress.last_run[index] + 1 if run is None else run, vm=room.vm_id)
+    return RunStart(task=task.name, run=progress.last_run[index] + 1 if run is None else run, vm=vm.vm_id)
 
 
-def _choose(ready: ReadyStep, *, rooms: list[FreeCapacity]) -> FreeCapacity | None:
+def _choose_vm(ready: ReadyStep, *, vms: list[FreeCapacity]) -> FreeCapacity | None:
     step = ready.step
     best: FreeCapacity | None = None
     best_cost: tuple[float, ...] = ()
-    for room in rooms:
-        if not room.fits(step) or not ready.is_approved(room.vm_id):
+    for vm in vms:
+        if not vm.fits(step) or not ready.is_approved(vm.vm_id):
             continue
-        if step.spread_limit and ready.placed.get(room.vm_id, 0) >= step.spread_limit:
+        if step.spread_limit and ready.placed.get(vm.vm_id, 0) >= step.spread_limit:
             continue
-        cost = _cost(ready, step=step, room=room)
+        cost = _placement_cost(ready, step=step, vm=vm)
         if best is None or cost < best_cost:
-            best, best_cost = room, cost
+            best, best_cost = vm, cost
     return best
 
 
-def _cost(ready: ReadyStep, *, step: Step, room: FreeCapacity) -> tuple[float, ...]:
-    is_far = bool(step.data_rack) and step.data_rack not in room.labels
+def _placement_cost(ready: ReadyStep, *, step: Step, vm: FreeCapacity) -> tuple[float, ...]:
+    """Returns the sort key of a VM for one task of a step; the lowest is preferred."""
+    is_remote = bool(step.data_rack) and step.data_rack not in vm.labels
     if step.fills:
-        return (room.suspicion, is_far, room.serving, room.filling, room.cpu_millis)
-    is_disturbed = bool(step.target_ms) and room.filling > 0
+        return (vm.recent_failures, is_remote, vm.serving, vm.best_effort, vm.cpu_millis)
+    has_interference = bool(step.target_ms) and vm.best_effort > 0
     if step.long_running:
-        # Long-running tasks share few VMs, so that the others can leave the pool, but no VM holds most of a step.
-        is_most = ready.placed.get(room.vm_id, 0) >= -(-step.count // 2)
-        return (room.suspicion, is_far, is_disturbed, room.is_due, is_most, room.cpu_millis)
-    return (room.suspicion, is_far, is_disturbed, room.cpu_millis)
+        # Long-running tasks share few VMs, so that the others can leave the pool, but no VM gets more than half of
+        # the tasks of a step while another VM has room.
+        has_half = ready.placed.get(vm.vm_id, 0) >= -(-step.count // 2)
+        return (
+            vm.recent_failures,
+            is_remote,
+            has_interference,
+            vm.awaits_maintenance,
+            has_half,
+            vm.cpu_millis,
+        )
+    return (vm.recent_failures, is_remote, has_interference, vm.cpu_millis)
 
 
 __all__ = ["place_steps"]
--- a/src/hyssopway/dispatch/pool_plan.py
+++ b/src/hyssopway/dispatch/pool_plan.py
@@ -22,7 +22,7 @@
     Attributes:
         pool: Name of the pool.
         vms: VMs that take work and are not being emptied, and machines on their way to the pool.
-        steady_millis: Processor of long-running tasks.
+        long_running_millis: Processor of long-running tasks.
         short_millis: Processor that other tasks use or wait for now.
         forecast_millis: Processor that other tasks need when a machine ordered now arrives.
         step_millis: Processor of one step of the usual width.
--- a/src/hyssopway/dispatch/ready_step.py
+++ b/src/hyssopway/dispatch/ready_step.py
@@ -1,4 +1,4 @@
-"""A step with tasks that may start."""
+"""A workflow step with tasks that are ready to start."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class ReadyStep:
-    """Tasks of one step of one occurrence that may start now.
+    """Tasks of one step, in one occurrence of its workflow, that are ready to start.
 
     Attributes:
         workflow: Workflow of the step.
         occurrence: Number of the occurrence.
-        number: Number of the step.
-        step: The step.
-        indexes: Tasks to start.
-        order: Sort key; the lowest comes first.
-        placed: Runs of the step in progress by VM.
-        approved_vms: VMs with a valid ticket for the step; None when it needs none.
+        number: Number of the step in the workflow.
+        step: What the tasks of the step need.
+        indexes: Indexes of the tasks to start.
+        order: Sort key of the service order; the lowest is served first.
+        placed: Number of active runs of the step by VM ID.
+        approved_vms: IDs of VMs with a valid ticket for the step; None when the step needs no ticket.
     """
 
     workflow: Workflow
@@ -32,7 +32,7 @@
     approved_vms: frozenset[str] | None = None
 
     def is_approved(self, vm_id: str) -> bool:
-        """Tells whether the step may start on a VM as far as its queue's advisor is concerned."""
+        """Returns whether the step needs no ticket of its queue's advisor or has one for a VM."""
         return self.approved_vms is None or vm_id in self.approved_vms
 
 
--- a/src/hyssopway/dispatch/ready_steps.py
+++ b/src/hyssopway/dispatch/ready_steps.py
@@ -1,4 +1,4 @@
-"""Finds the tasks that may start."""
+"""Finds the steps and scheduled occurrences that are ready to start."""
 
 from __future__ import annotations
 
@@ -6,19 +6,25 @@
 
 from hyssopway.workflow import TaskId
 
-from .ordering import order_occurrence
+from .ordering import service_order_key
 from .ready_step import ReadyStep
 
 if TYPE_CHECKING:
     from hyssopway.workflow import Indexes, Tables, Workflow
 
 
-# A schedule whose begin lies far back must not hold up everything else.
-MAX_DUE_A_ROUND = 50
+# Bounds the catch-up work of one round, so that a schedule that starts far in the past does not delay other workflows.
+MAX_DUE_PER_ROUND = 50
 
 
 def find_ready_steps(*, tables: Tables, indexes: Indexes, now_ms: float) -> list[ReadyStep]:
-    """Returns all steps with waiting tasks, in the order in which they are served."""
+    """Returns all ready steps with waiting tasks, in the order of service.
+
+    Args:
+        tables: Replicated data.
+        indexes: Indexes over the data.
+        now_ms: Wall-clock time in milliseconds.
+    """
     found: list[ReadyStep] = []
     for workflow_id in indexes.open_workflows:
         workflow = tables.workflows[workflow_id]
@@ -31,19 +37,24 @@
             if not waiting:
                 continue
             queue = indexes.queues.get(workflow.queue)
-            order = order_occurrence(workflow=workflow, occurrence=occurrence, queue=queue, now_ms=now_ms)
+            order = service_order_key(workflow=workflow, occurrence=occurrence, queue=queue, now_ms=now_ms)
             found += [
-                _describe(tables, workflow=workflow, occurrence=occurrence, number=number, order=order)
+                _make_ready_step(tables, workflow=workflow, occurrence=occurrence, number=number, order=order)
                 for number in waiting
             ]
-    found.sort(key=lambda ready: ready.order)
+    found.sort(key=lambda ready_step: ready_step.order)
     return found
 
 
 def find_due_occurrences(
     *, tables: Tables, indexes: Indexes, now_ms: float
 ) -> tuple[list[tuple[str, int]], float]:
-    """Returns scheduled occurrences that are due, and when the next one is."""
+    """Finds scheduled occurrences that are due, at most `MAX_DUE_PER_ROUND`.
+
+    Returns:
+        Workflow IDs and numbers of the due occurrences, and the wall-clock time in milliseconds at which the next
+        one is due; infinity when there is none.
+    """
     due: list[tuple[str, int]] = []
     next_ms = float("inf")
     for workflow_id in indexes.open_workflows:
@@ -56,12 +67,12 @@
                 next_ms = min(next_ms, at_ms)
                 break
             due.append((workflow_id, occurrence))
-            if len(due) >= MAX_DUE_A_ROUND:
+            if len(due) >= MAX_DUE_PER_ROUND:
                 return due, now_ms
     return due, next_ms
 
 
-def _describe(
+def _make_ready_step(
     tables: Tables, *, workflow: Workflow, occurrence: int, number: int, order: tuple[float, ...]
 ) -> ReadyStep:
     step = workflow.spec.steps[number]
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Rounds of placement at the peak of a turn."""
+"""Scheduling rounds at peak load."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from workflow.conftest import make_workflow
 
 VM_COUNT = 50
-CORES_A_VM = 64
-# Tasks of a turn that arrive together; the VMs have room for all of them.
-WORKFLOWS = 40
-TASKS = 8
+CORES_PER_VM = 64
+# Workflows that arrive together; the VMs have room for all their tasks.
+WORKFLOW_COUNT = 40
+TASKS_PER_WORKFLOW = 8
 MAX_LINE_BYTES = 8000
 
 
-def is_start_line(record):
+def is_runs_ordered(record):
     return record["extra"].get("event") == Event.RUNS_ORDERED.number
 
 
@@ -39,7 +39,7 @@
                 pool="vans",
                 zone="nashua",
                 labels=("a",),
-                capacity=Capacity(cpu_millis=CORES_A_VM * 1000, memory_mb=128_000),
+                capacity=Capacity(cpu_millis=CORES_PER_VM * 1000, memory_mb=128_000),
                 draining=False,
                 at_ms=0,
             )
@@ -49,36 +49,36 @@
     return Dispatcher(leadership=fleet, links=links)
 
 
-async def test_one_round_fills_the_machines_that_a_turn_brings(dispatcher, fleet):
-    """Guards against free machines beside thousands of waiting cores.
+async def test_one_round_places_all_tasks_that_fit(dispatcher, fleet):
+    """Guards against idle machines while tasks for thousands of cores wait.
 
-    A round agrees on its starts first, which takes as long for few as for many; at the peak of a turn the rounds of a
-    leader of 180 VMs followed each other 11 times a second, and 500 starts a second are what the platform asks for.
+    A round replicates its starts before it sends them, which takes as long for few as for many. At peak load a leader
+    of 180 VMs ran 11 rounds per second, and the platform requires 500 starts per second.
     """
-    step = Step(count=TASKS, cpu_millis=5700, memory_mb=500, estimate_ms=640)
-    for number in range(WORKFLOWS):
+    step = Step(count=TASKS_PER_WORKFLOW, cpu_millis=5700, memory_mb=500, estimate_ms=640)
+    for number in range(WORKFLOW_COUNT):
         await fleet.propose(make_workflow(f"w{number}", steps=(step,)))
     await dispatcher.run_round()
-    assert len(fleet.state.tables.runs) == WORKFLOWS * TASKS
+    assert len(fleet.state.tables.runs) == WORKFLOW_COUNT * TASKS_PER_WORKFLOW
     assert dispatcher.waiting_millis == {}
 
 
 async def test_each_start_of_a_large_round_is_logged(dispatcher, fleet):
-    """Guards against starts that nobody can trace, because the reader of a log cuts a line with hundreds of runs."""
-    step = Step(count=TASKS, cpu_millis=5700, memory_mb=500, estimate_ms=640)
-    for number in range(WORKFLOWS):
+    """Guards against starts that cannot be traced because log readers truncate a line with hundreds of runs."""
+    step = Step(count=TASKS_PER_WORKFLOW, cpu_millis=5700, memory_mb=500, estimate_ms=640)
+    for number in range(WORKFLOW_COUNT):
         await fleet.propose(make_workflow(f"{number:016x}", steps=(step,)))
     lines = []
-    handler = logger.add(lines.append, format="{message}", filter=is_start_line)
+    handler = logger.add(lines.append, format="{message}", filter=is_runs_ordered)
     await dispatcher.run_round()
     logger.remove(handler)
     logged = [key for line in lines for key in line.record["extra"]["runs"]]
-    assert len(logged) == len(set(logged)) == WORKFLOWS * TASKS
+    assert len(logged) == len(set(logged)) == WORKFLOW_COUNT * TASKS_PER_WORKFLOW
     assert max(len(json.dumps(line.record["extra"])) for line in lines) < MAX_LINE_BYTES
 
 
-async def test_work_without_room_is_counted_as_waiting(dispatcher, fleet):
-    """Guards against a pool whose demand is not seen because a part of a step has started."""
+async def test_unplaced_tasks_count_as_waiting(dispatcher, fleet):
+    """Guards against ignoring the demand of a step of which only some tasks have started."""
     await fleet.propose(make_workflow("wide", steps=(Step(count=VM_COUNT + 3, cpu_millis=40_000),)))
     await dispatcher.run_round()
     assert len(fleet.state.tables.runs) == VM_COUNT
