--- a/tests/dispatch/test_placement.py
+++ b/tests/dispatch/test_placement.py
@@ -84,8 +84,8 @@
 
 def test_vm_with_recent_failures_is_used_last():
     """Guards against a VM with a gray failure that attracts all tasks: it fails them at once and so is always free."""
-    vms = [make_free("gray", cpu=2_000, recent_failures=3), make_free("healthy")]
-    assert place_ready(make_ready(Step(count=1, cpu_millis=1_000)), vms=vms) == [("w.0.0.0", "healthy")]
+    vms = [make_free("grey", cpu=2_000, recent_failures=3), make_free("sound")]
+    assert place_ready(make_ready(Step(count=1, cpu_millis=1_000)), vms=vms) == [("w.0.0.0", "sound")]
 
 
 def test_team_at_its_limit_waits():
@@ -104,7 +104,7 @@
 
 def test_long_running_task_avoids_a_vm_that_awaits_maintenance():
     """Guards against a second interruption of a task by the same wave."""
-    vms = [make_free("in-wave", cpu=5_000, awaits_maintenance=True), make_free("other")]
+    vms = [make_free("due", cpu=5_000, awaits_maintenance=True), make_free("other")]
     ready = make_ready(Step(count=1, cpu_millis=100, long_running=True))
     assert place_ready(ready, vms=vms) == [("w.0.0.0", "other")]
 
