--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/conductor.py
@@ -12,17 +12,17 @@
 from .advice_fetcher import AdviceFetcher
 from .answer_times import AnswerTimes
 from .dispatcher import Dispatcher
-from .emptying import Emptying
+from .duration_scale import DurationScale
 from .leadership import LeadershipLostError
 from .look_pacer import LookPacer
-from .machine_list import MachineList
-from .pace_memory import PaceMemory
+from .machine_inventory import MachineInventory
+from .pace_history import PaceHistory
 from .pool_load import measure_pools
-from .pool_mover import PoolMover
+from .pool_rebalancer import PoolRebalancer
 from .retention import Retention
+from .vm_drainer import VmDrainer
 from .vm_link import FORGET_S, VmLink
-from .waves import Waves
-from .work_scale import WorkScale
+from .wave_executor import WaveExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -93,9 +93,9 @@
         self.links: dict[str, VmLink] = {}
         self.reported_at = float("-inf")
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.scale = WorkScale()
+        self.scale = DurationScale()
         self.pacer = LookPacer()
-        self.pace_memory = PaceMemory()
+        self.pace_memory = PaceHistory()
         self.times = AnswerTimes()
         self.retention = Retention(keep_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
@@ -105,30 +105,30 @@
             tickets=self.dispatcher.tickets,
             clock=leadership.clock,
             wall_ms=wall_ms,
-            list_rooms=self.dispatcher.list_rooms,
+            list_free_capacity=self.dispatcher.list_free_capacity,
             on_tickets=self.dispatcher.changed.set,
         )
-        self.emptying = Emptying(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
-        machine_list = MachineList(
+        self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
+        machine_list = MachineInventory(
             leadership=leadership,
             calls=machines,
-            turn_s=limits.turn_s,
-            shortest_order_s=min(limits.move_s, limits.maintenance_s),
+            machine_lease_s=limits.turn_s,
+            min_down_s=min(limits.move_s, limits.maintenance_s),
         )
-        self.mover = PoolMover(
+        self.mover = PoolRebalancer(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             scale=self.scale,
             move_s=limits.move_s,
             orders_per_s=limits.machine_orders_per_s,
         )
-        self.waves = Waves(
+        self.waves = WaveExecutor(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             maintenance_s=limits.maintenance_s,
         )
 
@@ -212,9 +212,9 @@
     def _empty_draining(self) -> None:
         for vm_id, vm in self.leadership.state.tables.vms.items():
             if vm.draining:
-                self.emptying.close(vm_id, reason="it drains")
+                self.emptying.cordon(vm_id, reason="it drains")
         if self.leadership.may_order():
-            self.emptying.step()
+            self.emptying.evict_runs()
 
     def _report_load(self) -> None:
         now = self.leadership.clock()
@@ -230,7 +230,7 @@
                 pool=pool,
                 vms=load.vms,
                 capacity=load.capacity_millis // 1000,
-                steady=load.steady_millis // 1000,
+                steady=load.long_running_millis // 1000,
                 short=load.short_millis // 1000,
                 waiting=load.waiting_millis // 1000,
             )
