--- a/src/hyssopway/dispatch/__init__.py
+++ b/src/hyssopway/dispatch/__init__.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from .advice_calls import AdviceCalls, AdviceError
-from .conductor import Conductor
 from .hold_reply import HoldReply
+from .leader_controller import LeaderController
 from .leadership import Leadership, LeadershipLostError
 from .listed_end import ListedEnd
 from .machine_calls import (
@@ -22,8 +22,8 @@
 __all__ = [
     "AdviceCalls",
     "AdviceError",
-    "Conductor",
     "HoldReply",
+    "LeaderController",
     "Leadership",
     "LeadershipLostError",
     "ListedEnd",
--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -37,7 +37,7 @@
 REPORT_S = 1.0
 
 
-class Conductor:
+class LeaderController:
     """Links to all VMs and the decisions of a leader.
 
     Attributes:
@@ -257,7 +257,7 @@
     except LeadershipLostError as error:
         log_event(Event.TASK_ENDED, task=name, reason=str(error))
     except Exception as error:
-        # The conductor starts the task again.
+        # The controller starts the task again.
         log_event(Event.TASK_FAILED, task=name, error=repr(error))
 
 
@@ -266,4 +266,4 @@
     return all(getattr(known, field) == getattr(command, field) for field in fields)
 
 
-__all__ = ["Conductor"]
+__all__ = ["LeaderController"]
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -17,7 +17,7 @@
     run_replication,
 )
 from hyssopway.clock import monotonic_s
-from hyssopway.dispatch import Conductor, Leadership, LeadershipLostError
+from hyssopway.dispatch import LeaderController, Leadership, LeadershipLostError
 from hyssopway.event import Event, log_event
 from hyssopway.peer import PeerServer, PeerUnreachableError
 from hyssopway.relay import (
@@ -66,8 +66,8 @@
         finder: Knows the leader.
         relay: Passes requests to the leader.
         service: Answers requests while this node leads.
-        new_conductor: Builds the decisions of a term.
-        conductor: Decisions of the present term; None while this node does not lead.
+        new_controller: Builds the decisions of a term.
+        controller: Decisions of the present term; None while this node does not lead.
     """
 
     def __init__(
@@ -75,13 +75,13 @@
         *,
         settings: NodeSettings,
         service: RequestService,
-        new_conductor: Callable[[Leadership], Conductor],
+        new_controller: Callable[[Leadership], LeaderController],
     ) -> None:
         if settings.data_dir is None:
             raise ValueError("a control node needs a data folder")
         self.settings = settings
         self.service = service
-        self.new_conductor = new_conductor
+        self.new_controller = new_controller
         self.directory = NodeDirectory(own_name=settings.host, peer_port=settings.peer_port)
         self.state = WorkflowState()
         self.member = Member(
@@ -98,7 +98,7 @@
         )
         self.relay = Relay(finder=self.finder)
         self.keeper = GroupKeeper(member=self.member, tolerated_losses=settings.tolerated_losses)
-        self.conductor: Conductor | None = None
+        self.controller: LeaderController | None = None
         calls = ControlCalls(
             member=self.member,
             exchanges={
@@ -156,11 +156,11 @@
     def read_gauges(self) -> dict[str, float]:
         """Returns present values for metrics and dumps."""
         member, tables = self.member, self.state.tables
-        conductor = self.conductor
+        controller = self.controller
         now = member.clock()
-        links = conductor.links.values() if conductor is not None else ()
+        links = controller.links.values() if controller is not None else ()
         return {
-            "leads": float(conductor is not None),
+            "leads": float(controller is not None),
             "term": member.term,
             "commit_index": member.commit_index,
             "applied_index": member.applied_index,
@@ -171,20 +171,20 @@
             "workflows": len(tables.workflows),
             "open_workflows": len(self.state.indexes.open_workflows),
             "runs": sum(len(runs) for runs in tables.runs.values()),
-            "waiting_cores": sum(conductor.dispatcher.waiting_millis.values()) / 1000 if conductor else 0.0,
+            "waiting_cores": sum(controller.dispatcher.waiting_millis.values()) / 1000 if controller else 0.0,
             "document_version": tables.document.version if tables.document is not None else 0,
         }
 
     async def answer(self, request: RelayedRequest) -> RelayedReply:
         """Answers a request here if this node leads; the status is 0 when it does not."""
-        conductor = self.conductor
-        if conductor is None:
+        controller = self.controller
+        if controller is None:
             return RelayedReply(status=0, leader=self.member.leader_daemon)
         try:
-            await conductor.leadership.confirm()
-            return await self.service.answer(request=request, conductor=conductor)
+            await controller.leadership.confirm()
+            return await self.service.answer(request=request, controller=controller)
         except LeadershipLostError as error:
-            log_event(Event.DECISIONS_STOPPED, term=conductor.leadership.term, reason=str(error))
+            log_event(Event.DECISIONS_STOPPED, term=controller.leadership.term, reason=str(error))
             return RelayedReply(status=0, leader=self.member.leader_daemon)
         except Exception as error:
             log_event(Event.HTTP_HANDLER_FAILED, method=request.method, path=request.path, error=repr(error))
@@ -196,7 +196,7 @@
         Raises:
             UnansweredError: No leader answered in time.
         """
-        if self.conductor is not None:
+        if self.controller is not None:
             reply = await self.answer(request)
             if reply.status:
                 return reply
@@ -216,11 +216,11 @@
                 workflows=len(tables.workflows),
                 vms=len(tables.vms),
             )
-            self.conductor = self.new_conductor(leadership)
+            self.controller = self.new_controller(leadership)
             try:
-                await self.conductor.run()
+                await self.controller.run()
             finally:
-                self.conductor = None
+                self.controller = None
 
     async def _join(self) -> None:
         """Asks to join for as long as the group does not hold this member."""
@@ -248,7 +248,7 @@
 
     async def _tell_leader(self, data: bytes) -> bytes:
         members = sorted({daemon_of(member) for member in self.member.configuration.members})
-        leads = self.conductor is not None and self.conductor.leadership.may_order()
+        leads = self.controller is not None and self.controller.leadership.may_order()
         answer = {"leads": leads, "leader": self.member.leader_daemon, "members": members}
         return json.dumps(answer).encode()
 
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -7,7 +7,7 @@
 from hyssopway.agreement import dump_member
 
 if TYPE_CHECKING:
-    from hyssopway.dispatch import Conductor
+    from hyssopway.dispatch import LeaderController
     from hyssopway.workflow import Tables
 
     from .control_node import ControlNode
@@ -19,7 +19,7 @@
         "gauges": node.read_gauges(),
         "agreement": dump_member(node.member),
         "agreed_state": _dump_tables(node.state.tables),
-        "leader": _dump_conductor(node.conductor) if node.conductor is not None else None,
+        "leader": _dump_leader(node.controller) if node.controller is not None else None,
     }
 
 
@@ -38,14 +38,14 @@
     }
 
 
-def _dump_conductor(conductor: Conductor) -> dict[str, Any]:
-    now = conductor.leadership.clock()
+def _dump_leader(controller: LeaderController) -> dict[str, Any]:
+    now = controller.leadership.clock()
     return {
-        "term": conductor.leadership.term,
-        "waiting_millis": conductor.dispatcher.waiting_millis,
-        "closed_vms": sorted(conductor.dispatcher.closed_vms),
-        "due_vms": sorted(conductor.dispatcher.due_vms),
-        "machines": conductor.mover.machines.machines,
+        "term": controller.leadership.term,
+        "waiting_millis": controller.dispatcher.waiting_millis,
+        "closed_vms": sorted(controller.dispatcher.closed_vms),
+        "due_vms": sorted(controller.dispatcher.due_vms),
+        "machines": controller.mover.machines.machines,
         "links": {
             vm_id: {
                 "in_contact": link.in_contact(now),
@@ -56,7 +56,7 @@
                 "pause_left_s": max(0.0, link.orders.paused_until - now),
                 "failures": link.failures,
             }
-            for vm_id, link in conductor.links.items()
+            for vm_id, link in controller.links.items()
         },
     }
 
--- a/src/hyssopway/node/request_service.py
+++ b/src/hyssopway/node/request_service.py
@@ -5,14 +5,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from hyssopway.dispatch import Conductor
+    from hyssopway.dispatch import LeaderController
     from hyssopway.relay import RelayedReply, RelayedRequest
 
 
 class RequestService(Protocol):
     """What the leader does with a request, in the protocol of the deployment."""
 
-    async def answer(self, *, request: RelayedRequest, conductor: Conductor) -> RelayedReply:
+    async def answer(self, *, request: RelayedRequest, controller: LeaderController) -> RelayedReply:
         """Answers a request.
 
         Raises:
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -38,7 +38,7 @@
         return Ok(1)
 
 
-class FakeConductor:
+class FakeLeaderController:
     """Takes announcements straight into the agreed state."""
 
     def __init__(self):
@@ -58,7 +58,7 @@
     """Sends requests to the service."""
 
     def __init__(self):
-        self.conductor = FakeConductor()
+        self.controller = FakeLeaderController()
         control = ControlApi(own_address="10.0.0.9:80", zones=frozenset({"nashua"}))
         self.service = PlatformService(control=control)
 
@@ -72,7 +72,7 @@
             credential=f"Bearer {key}" if key else "",
             body=data,
         )
-        reply = await self.service.answer(request=request, conductor=self.conductor)
+        reply = await self.service.answer(request=request, controller=self.controller)
         return reply.status, json.loads(reply.body)
 
     async def control(self, method, path, body=None):
--- a/tests/adapter/test_control_api.py
+++ b/tests/adapter/test_control_api.py
@@ -48,28 +48,28 @@
         200,
         {"heartbeat_address": "10.0.0.9:80"},
     )
-    assert client.conductor.leadership.state.tables.vms["i-1"].capacity.cpu_millis == 64000
+    assert client.controller.leadership.state.tables.vms["i-1"].capacity.cpu_millis == 64000
 
 
 async def test_report_that_was_overtaken_is_acknowledged_and_ignored(client):
     """Guards against an older state of a VM that arrives late."""
     await client.control("PUT", "instances/i-1", REPORT | {"state": "draining", "call_sequence": 9})
     assert (await client.control("PUT", "instances/i-1", REPORT))[0] == 200
-    assert len(client.conductor.announced) == 1
+    assert len(client.controller.announced) == 1
     await client.control("PUT", "instances/i-1", REPORT | {"born": 8, "call_sequence": 1})
-    assert len(client.conductor.announced) == 2
+    assert len(client.controller.announced) == 2
 
 
 @pytest.mark.parametrize("change", [{"service": "x"}, {"state": "asleep"}, {"capacity": None}])
 async def test_report_of_another_writer_names_no_vm(client, change):
     """Guards against a VM that does not exist."""
     assert (await client.control("PUT", "instances/i-1", REPORT | change))[0] == 400
-    assert client.conductor.leadership.state.tables.vms == {}
+    assert client.controller.leadership.state.tables.vms == {}
 
 
 async def test_zone_is_evacuated_and_taken_back(client):
     """Guards against an evacuation of a zone that is not there, or that cannot be withdrawn."""
-    tables = client.conductor.leadership.state.tables
+    tables = client.controller.leadership.state.tables
     assert (await client.control("POST", "evacuations/mars"))[0] == 400
     assert (await client.control("POST", "evacuations/nashua"))[0] == 200
     assert tables.evacuated == {"nashua"}
@@ -83,7 +83,7 @@
     assert (await client.control("GET", "wave-get/1"))[0] == 404
     assert (await client.control("POST", "wave-start", order))[0] == 200
     assert await client.control("GET", "wave-get/1") == (200, {"state": "running"})
-    client.conductor.leadership.state.tables.waves[1].confirmed.add("m1")
+    client.controller.leadership.state.tables.waves[1].confirmed.add("m1")
     assert await client.control("GET", "wave-get/1") == (200, {"state": "completed"})
     assert (await client.control("GET", "wave-get/x"))[0] == 400
 
--- a/tests/node/test_control_nodes.py
+++ b/tests/node/test_control_nodes.py
@@ -12,7 +12,7 @@
 
 from dispatch.conftest import LIMITS
 from hyssopway.clock import monotonic_s
-from hyssopway.dispatch import Conductor
+from hyssopway.dispatch import LeaderController
 from hyssopway.node import ControlNode, NodeSettings, dump_control_node
 from hyssopway.relay import RelayedReply, RelayedRequest
 from hyssopway.result import Failure, ResultCode
@@ -26,15 +26,15 @@
 class ZoneService:
     """Agrees on one change for each request."""
 
-    async def answer(self, *, request, conductor):
-        await conductor.leadership.propose(SetZoneEvacuated(zone="nashua", evacuated=True))
+    async def answer(self, *, request, controller):
+        await controller.leadership.propose(SetZoneEvacuated(zone="nashua", evacuated=True))
         return RelayedReply(status=200)
 
 
 class StateService:
     """Answers from the state alone."""
 
-    async def answer(self, *, request, conductor):
+    async def answer(self, *, request, controller):
         return RelayedReply(status=200)
 
 
@@ -65,7 +65,7 @@
     return ControlNode(
         settings=settings,
         service=ZoneService(),
-        new_conductor=lambda leadership: Conductor(
+        new_controller=lambda leadership: LeaderController(
             leadership=leadership, calls=None, machines=NoMachines(), advisor=None, limits=LIMITS
         ),
     )
@@ -78,7 +78,7 @@
 
 
 def leaders(nodes):
-    return [node for node in nodes if node.conductor is not None]
+    return [node for node in nodes if node.controller is not None]
 
 
 @pytest.fixture
@@ -118,9 +118,9 @@
 async def test_dump_tells_the_whole_state_without_keys(group):
     """Guards against a dump that cannot be written, says little, or hands out the keys of teams."""
     (leader,) = leaders(group)
-    await leader.conductor.leadership.propose(PutDocument(document=make_document()))
-    await leader.conductor.leadership.propose(make_vm("vm-1"))
-    await leader.conductor.leadership.propose(make_workflow("w"))
+    await leader.controller.leadership.propose(PutDocument(document=make_document()))
+    await leader.controller.leadership.propose(make_vm("vm-1"))
+    await leader.controller.leadership.propose(make_workflow("w"))
     for node in group:
         await wait_until(lambda node=node: "w" in node.state.tables.workflows)
         dump = to_json(dump_control_node(node), inf_nan_mode="null")
@@ -137,7 +137,7 @@
     await old.hand_over()
     others = [node for node in group if node is not old]
     await wait_until(lambda: bool(leaders(others)))
-    await wait_until(lambda: old.conductor is None)
+    await wait_until(lambda: old.controller is None)
     assert (await old.serve(REQUEST, timeout_s=5.0)).status == 200
 
 
