--- a/src/hyssopway/dispatch/__init__.py
+++ b/src/hyssopway/dispatch/__init__.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from .advice_calls import AdviceCalls, AdviceError
-from .hold_reply import HoldReply
 from .leader_controller import LeaderController
 from .leadership import Leadership, LeadershipLostError
 from .listed_end import ListedEnd
@@ -16,13 +15,13 @@
 )
 from .order_reply import OrderReply, Refusal
 from .platform_limits import PlatformLimits
+from .poll_reply import PollReply
 from .running_row import RunningRow
 from .worker_calls import OtherBootError, WorkerCalls, WorkerUnreachableError
 
 __all__ = [
     "AdviceCalls",
     "AdviceError",
-    "HoldReply",
     "LeaderController",
     "Leadership",
     "LeadershipLostError",
@@ -35,6 +34,7 @@
     "OrderReply",
     "OtherBootError",
     "PlatformLimits",
+    "PollReply",
     "Refusal",
     "RunningRow",
     "WorkerCalls",
--- a/src/hyssopway/dispatch/hold_reply.py
+++ b/src/hyssopway/dispatch/poll_reply.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HoldReply:
+class PollReply:
     """Runs of a VM.
 
     Attributes:
@@ -24,7 +24,7 @@
     boot: int
     running: tuple[RunningRow, ...]
     ends: tuple[ListedEnd, ...]
-    is_whole: bool
+    is_complete: bool
 
 
-__all__ = ["HoldReply"]
+__all__ = ["PollReply"]
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -24,11 +24,11 @@
     from hyssopway.workflow import ActiveRun, VmRecord
 
     from .answer_times import AnswerTimes
-    from .hold_reply import HoldReply
     from .leadership import Leadership
     from .look_pacer import LookPacer
     from .pace_memory import PaceMemory
     from .platform_limits import PlatformLimits
+    from .poll_reply import PollReply
     from .running_row import RunningRow
     from .ticket_cache import TicketCache
     from .work_scale import WorkScale
@@ -157,7 +157,7 @@
         if record is None:
             return False
         try:
-            await self._hold(record)
+            await self._poll(record)
         except OtherBootError as error:
             self.looks.note_answered()
             await self._give_up_boot(record, reason=str(error))
@@ -179,13 +179,13 @@
         if end is not None:
             await self._end([end])
 
-    async def _hold(self, record: VmRecord) -> None:
+    async def _poll(self, record: VmRecord) -> None:
         if record.boot != self.boot:
             self._forget_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
         times = self.looks.choose(now=sent_at, is_fenced=self.is_fenced)
-        reply = await self.calls.hold(
+        reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
             last_end=record.last_end,
@@ -217,7 +217,7 @@
         if reply.ends and (pause_s := self.pacer.read_pause_s()):
             await asyncio.sleep(pause_s)
 
-    async def _take_ends(self, record: VmRecord, *, reply: HoldReply) -> None:
+    async def _take_ends(self, record: VmRecord, *, reply: PollReply) -> None:
         for listed in reply.ends:
             end = listed.end
             flight = self.orders.forget_run(f"{end.task}/{end.run}")
@@ -250,8 +250,8 @@
         if real_s > 0 and step.estimate_ms and not step.long_running:
             self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=real_s * 1000)
 
-    async def _settle(self, record: VmRecord, *, reply: HoldReply, sent_at: float) -> None:
-        if not reply.is_whole:
+    async def _settle(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
+        if not reply.is_complete:
             return
         listed = set(self.rows) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
         settled = self.unlisted.conclude(record, listed=listed, sent_at=sent_at, fenced_at=self.fenced_at)
--- a/src/hyssopway/dispatch/worker_calls.py
+++ b/src/hyssopway/dispatch/worker_calls.py
@@ -7,8 +7,8 @@
 if TYPE_CHECKING:
     from hyssopway.workflow import VmRecord
 
-    from .hold_reply import HoldReply
     from .order_reply import OrderReply
+    from .poll_reply import PollReply
 
 
 class WorkerUnreachableError(Exception):
@@ -26,7 +26,7 @@
     are on the steady clock of the VM.
     """
 
-    async def hold(
+    async def poll(
         self,
         *,
         vm: VmRecord,
@@ -35,7 +35,7 @@
         lease_until_ms: int | None,
         wait_ms: int,
         timeout_s: float,
-    ) -> HoldReply:
+    ) -> PollReply:
         """Renews the lease of all runs of a VM and lists them.
 
         Raises:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from hyssopway.dispatch import HoldReply, OrderReply, PlatformLimits, RunningRow
+from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow
 from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
@@ -85,10 +85,10 @@
     def __init__(self) -> None:
         self.rows: dict[str, list[RunningRow]] = {}
 
-    async def hold(self, *, vm: VmRecord, **_: Any) -> HoldReply:
+    async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
         """Lists the runs of a VM."""
         running = tuple(self.rows.get(vm.vm_id, ()))
-        return HoldReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_whole=True)
+        return PollReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_complete=True)
 
     async def start(self, *, vm: VmRecord, task: str, run: int, **_: Any) -> OrderReply:
         """Starts a run."""
--- a/tests/adapter/test_fuzzed_input.py
+++ b/tests/adapter/test_fuzzed_input.py
@@ -22,7 +22,7 @@
 from hyssopway_platform.manifest import decode_manifest
 from hyssopway_platform.vm_report import decode_report
 from hyssopway_platform.wave_order import decode_wave
-from hyssopway_platform.worker_client import _decode_hold, _decode_object
+from hyssopway_platform.worker_client import _decode_object, _decode_poll
 
 FRESH = bool(os.environ.get("FUZZ_FRESH"))
 FUZZ = settings(
@@ -170,7 +170,7 @@
     """Guards against one VM whose answer ends the task that looks at it."""
     try:
         decoded = _decode_object(json.dumps(answer).encode())
-        reply = _decode_hold(decoded)
+        reply = _decode_poll(decoded)
     except WorkerUnreachableError:
         return
     assert all(math.isfinite(row.percent) for row in reply.running)
--- a/tests/adapter/test_worker_client.py
+++ b/tests/adapter/test_worker_client.py
@@ -75,8 +75,8 @@
     )
 
 
-async def hold(workers, record):
-    return await workers.hold(
+async def poll(workers, record):
+    return await workers.poll(
         vm=record, fencing_token=7, last_end=3, lease_until_ms=None, wait_ms=0, timeout_s=0.35
     )
 
@@ -148,8 +148,8 @@
         "running": [["w.0.0.1", 2, "half", 41, 800], ["w.0.0.2", 1, "", 7]],
         "finished": [[4, "w.0.0.0", 1, "broken", ""]],
     }
-    reply = await hold(workers, record)
-    assert (reply.clock_ms, reply.boot, reply.is_whole) == (50, 9, True)
+    reply = await poll(workers, record)
+    assert (reply.clock_ms, reply.boot, reply.is_complete) == (50, 9, True)
     assert [tuple(row) for row in reply.running] == [
         ("w.0.0.1", 2, "half", 41, 800),
         ("w.0.0.2", 1, "", 7, 0),
@@ -172,11 +172,11 @@
     """Guards against runs that are taken as gone because their listing was broken."""
     answers.body = body
     with pytest.raises(WorkerUnreachableError):
-        await hold(workers, record)
+        await poll(workers, record)
 
 
 async def test_other_vm_at_the_address_is_noticed(workers, record, answers):
     """Guards against orders to a VM that took over an address."""
     answers.status = 421
     with pytest.raises(OtherBootError):
-        await hold(workers, record)
+        await poll(workers, record)
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hyssopway.dispatch import HoldReply, OrderReply, PlatformLimits, RunningRow, WorkerUnreachableError
+from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow, WorkerUnreachableError
 from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_memory import PaceMemory
@@ -72,7 +72,7 @@
         if self.silent or self.lose >= 0:
             raise WorkerUnreachableError("silent")
 
-    async def hold(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
+    async def poll(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
         self.leases.append(lease_until_ms)
         self._answer(timeout_s)
         rows = tuple(
@@ -80,12 +80,12 @@
             for (task, run), name in self.running.items()
             if name == vm.vm_id
         )
-        return HoldReply(
+        return PollReply(
             clock_ms=round(self.leadership.now * 1000),
             boot=self.boot,
             running=rows,
             ends=tuple(end for end in self.ends if end.number > last_end),
-            is_whole=True,
+            is_complete=True,
         )
 
     async def start(self, *, vm, task, run, timeout_s, **_):
--- a/tests/dispatch/model_worker.py
+++ b/tests/dispatch/model_worker.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from hyssopway.dispatch import HoldReply, OrderReply, Refusal, RunningRow, WorkerUnreachableError
+from hyssopway.dispatch import OrderReply, PollReply, Refusal, RunningRow, WorkerUnreachableError
 from hyssopway.dispatch.lease import CLOCK_DRIFT
 from hyssopway.dispatch.listed_end import ListedEnd
 from hyssopway.workflow import RunEnd, RunOutcome
@@ -91,7 +91,7 @@
         self.closed[task] = max(self.closed.get(task, 0), run)
         return None
 
-    def take_hold(self, *, fencing_token, last_end, lease_until_ms):
+    def take_poll(self, *, fencing_token, last_end, lease_until_ms):
         if fencing_token < self.token:
             raise WorkerUnreachableError("fenced")
         self.token = fencing_token
@@ -99,8 +99,8 @@
             self.lease_until_ms = max(self.lease_until_ms, lease_until_ms)
         self.ends = [end for end in self.ends if end.number > last_end]
         rows = tuple(RunningRow(task, run, "", 50, 0) for task, run in self.live.items())
-        return HoldReply(
-            clock_ms=int(self.clock_ms), boot=self.boot, running=rows, ends=tuple(self.ends), is_whole=True
+        return PollReply(
+            clock_ms=int(self.clock_ms), boot=self.boot, running=rows, ends=tuple(self.ends), is_complete=True
         )
 
 
@@ -120,10 +120,10 @@
         self.fate = "deliver"
         self.delayed = []
 
-    async def hold(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
+    async def poll(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
         worker = self.workers[vm.vm_id]
         return self._send(
-            lambda: worker.take_hold(
+            lambda: worker.take_poll(
                 fencing_token=fencing_token, last_end=last_end, lease_until_ms=lease_until_ms
             )
         )
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -130,8 +130,8 @@
         self.vms = vms
         self.paces = {}
 
-    async def hold(self, **arguments):
-        return await self.vms.hold(**arguments)
+    async def poll(self, **arguments):
+        return await self.vms.poll(**arguments)
 
     async def pace(self, *, vm, task, run, percent, fencing_token, timeout_s):
         self.vms._answer(timeout_s)
