--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -14,9 +14,9 @@
 from .dispatcher import Dispatcher
 from .emptying import Emptying
 from .leadership import LeadershipLostError
-from .look_pacer import LookPacer
 from .machine_list import MachineList
 from .pace_memory import PaceMemory
+from .poll_rate_limiter import PollRateLimiter
 from .pool_load import measure_pools
 from .pool_mover import PoolMover
 from .retention import Retention
@@ -51,7 +51,7 @@
         waves: Carries out maintenance waves.
         scale: How far declared durations are off.
         mover: Moves machines between pools.
-        pacer: Rate of the looks at all VMs.
+        poll_limiter: Rate of the polls at all VMs.
         pace_memory: How much tasks that fill disturb those that serve.
         times: Times that answers to orders take.
         retention: Workflows that ended, and since when.
@@ -69,7 +69,7 @@
         "links",
         "mover",
         "pace_memory",
-        "pacer",
+        "poll_limiter",
         "reported_at",
         "retention",
         "scale",
@@ -94,7 +94,7 @@
         self.reported_at = float("-inf")
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.scale = WorkScale()
-        self.pacer = LookPacer()
+        self.poll_limiter = PollRateLimiter()
         self.pace_memory = PaceMemory()
         self.times = AnswerTimes()
         self.retention = Retention(keep_s=limits.status_s)
@@ -198,7 +198,7 @@
                     calls=self.calls,
                     limits=self.limits,
                     scale=self.scale,
-                    pacer=self.pacer,
+                    poll_limiter=self.poll_limiter,
                     times=self.times,
                     pace_memory=self.pace_memory,
                     tickets=self.dispatcher.tickets,
--- a/src/hyssopway/dispatch/look_pacer.py
+++ b/src/hyssopway/dispatch/poll_rate_limiter.py
@@ -16,7 +16,7 @@
 WINDOW_S = 0.3
 
 
-class LookPacer:
+class PollRateLimiter:
     """Rate of the looks of one leader at all VMs.
 
     Attributes:
@@ -30,15 +30,15 @@
         self.rate_per_s = 0.0
         self.counted_at = float("-inf")
 
-    def note_look(self, *, now: float) -> None:
+    def record_poll(self, *, now: float) -> None:
         """Takes in an answered look."""
         self.rate_per_s = self.rate_per_s * math.exp((self.counted_at - now) / WINDOW_S) + 1 / WINDOW_S
         self.counted_at = now
 
-    def read_pause_s(self) -> float:
+    def compute_pause_s(self) -> float:
         """Returns the pause after a look that brought ends, in seconds."""
         excess = self.rate_per_s / FREE_LOOKS_PER_S - 1
         return MAX_PAUSE_S * min(1.0, max(0.0, excess))
 
 
-__all__ = ["LookPacer"]
+__all__ = ["PollRateLimiter"]
--- a/src/hyssopway/dispatch/look_timing.py
+++ b/src/hyssopway/dispatch/poll_timing.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class LookTimes:
+class PollTimes:
     """Times of one look.
 
     Attributes:
@@ -31,7 +31,7 @@
     timeout_s: float
 
 
-class LookTiming:
+class PollTiming:
     """Chooses the times of the looks at one VM.
 
     Attributes:
@@ -54,7 +54,7 @@
         self.lost += 1
         self.lost_at = now
 
-    def choose(self, *, now: float, is_fenced: bool) -> LookTimes:
+    def choose(self, *, now: float, is_fenced: bool) -> PollTimes:
         """Chooses the times of the next look.
 
         Args:
@@ -68,7 +68,7 @@
             margin_s = UNSURE_MARGINS_S[min(self.lost, len(UNSURE_MARGINS_S) - 1)]
         if not is_fenced:
             wait_ms = 0
-        return LookTimes(wait_ms=wait_ms, timeout_s=wait_ms / 1000 + margin_s)
+        return PollTimes(wait_ms=wait_ms, timeout_s=wait_ms / 1000 + margin_s)
 
 
-__all__ = ["UNSURE_S", "LookTimes", "LookTiming"]
+__all__ = ["UNSURE_S", "PollTimes", "PollTiming"]
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -10,7 +10,7 @@
 from hyssopway.workflow import EndRuns, RegisterVm, RunEnd, RunOutcome, TaskId
 
 from .lease import RUN_LEASE_S, VmLease, lease_end
-from .look_timing import LookTiming
+from .poll_timing import PollTiming
 from .run_ends import end_all_runs
 from .run_orders import RunOrders
 from .stall_watch import StallWatch
@@ -25,9 +25,9 @@
 
     from .answer_times import AnswerTimes
     from .leadership import Leadership
-    from .look_pacer import LookPacer
     from .pace_memory import PaceMemory
     from .platform_limits import PlatformLimits
+    from .poll_rate_limiter import PollRateLimiter
     from .poll_reply import PollReply
     from .running_row import RunningRow
     from .ticket_cache import TicketCache
@@ -54,8 +54,8 @@
         calls: Client of worker VMs.
         scale: Learns how far declared durations are off.
         on_change: Called when a decision may have become possible.
-        looks: Times of the looks at it.
-        pacer: Rate of the looks at all VMs.
+        polls: Times of the polls of it.
+        poll_limiter: Rate of the polls at all VMs.
         lease: Bound on the lease of its runs.
         orders: Orders of this term to it.
         pace: Pace of its tasks that fill.
@@ -79,11 +79,11 @@
         "is_fenced",
         "leadership",
         "lease",
-        "looks",
         "on_change",
         "orders",
         "pace",
-        "pacer",
+        "poll_limiter",
+        "polls",
         "rows",
         "scale",
         "stalls",
@@ -99,7 +99,7 @@
         calls: WorkerCalls,
         limits: PlatformLimits,
         scale: WorkScale,
-        pacer: LookPacer,
+        poll_limiter: PollRateLimiter,
         times: AnswerTimes,
         pace_memory: PaceMemory,
         tickets: TicketCache,
@@ -111,9 +111,9 @@
         self.calls = calls
         self.on_change = on_change
         self.scale = scale
-        self.pacer = pacer
+        self.poll_limiter = poll_limiter
         self.stalls = StallWatch()
-        self.looks = LookTiming()
+        self.polls = PollTiming()
         length_s = min(RUN_LEASE_S, limits.longest_lease_s)
         granted_by_others = lease_end(granted_at=leadership.started_at, length_s=length_s)
         self.lease = VmLease(length_s=length_s, ends_at=granted_by_others)
@@ -147,11 +147,11 @@
         while self.record is not None:
             if not self.leadership.may_order():
                 await asyncio.sleep(RETRY_S / 4)
-            elif not await self.look() and self.looks.lost != 1:
+            elif not await self.poll() and self.polls.lost != 1:
                 # The first look that is lost is repeated at once.
                 await asyncio.sleep(RETRY_S)
 
-    async def look(self) -> bool:
+    async def poll(self) -> bool:
         """Looks at the VM once and tells whether it answered."""
         record = self.record
         if record is None:
@@ -159,11 +159,11 @@
         try:
             await self._poll(record)
         except OtherBootError as error:
-            self.looks.note_answered()
+            self.polls.note_answered()
             await self._give_up_boot(record, reason=str(error))
             return False
         except WorkerUnreachableError as error:
-            self.looks.note_lost(now=self.leadership.clock())
+            self.polls.note_lost(now=self.leadership.clock())
             self._note_silence(record, reason=str(error))
             await self._conclude_lapsed(record)
             return False
@@ -184,7 +184,7 @@
             self._forget_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
-        times = self.looks.choose(now=sent_at, is_fenced=self.is_fenced)
+        times = self.polls.choose(now=sent_at, is_fenced=self.is_fenced)
         reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
@@ -194,7 +194,7 @@
             wait_ms=times.wait_ms,
             timeout_s=times.timeout_s,
         )
-        self.looks.note_answered()
+        self.polls.note_answered()
         if reply.boot != record.boot:
             await self._take_new_boot(record, boot=reply.boot)
             return
@@ -213,8 +213,8 @@
             await self._take_ends(record, reply=reply)
         await self._settle(record, reply=reply, sent_at=sent_at)
         self.on_change()
-        self.pacer.note_look(now=now)
-        if reply.ends and (pause_s := self.pacer.read_pause_s()):
+        self.poll_limiter.record_poll(now=now)
+        if reply.ends and (pause_s := self.poll_limiter.compute_pause_s()):
             await asyncio.sleep(pause_s)
 
     async def _take_ends(self, record: VmRecord, *, reply: PollReply) -> None:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -17,8 +17,8 @@
 from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.dispatch.work_scale import WorkScale
@@ -142,17 +142,17 @@
     dispatcher = Dispatcher(leadership=term, links=links)  # type: ignore[arg-type]
     for vm_id in term.state.tables.vms:
         links[vm_id] = _link(vm_id, term=term, calls=calls, dispatcher=dispatcher)
-        await links[vm_id].look()
+        await links[vm_id].poll()
     running = round(vms * CORES_A_VM * HALF_FULL / CORES_A_TASK)
     await _submit(term, tasks=running, name="run")
     await _round(dispatcher)
     while sum(dispatcher.waiting_millis.values()):
         await _round(dispatcher)
     for link in links.values():
-        await link.look()
+        await link.poll()
     empty_round_ms = await _time(lambda: _round(dispatcher))
     first = next(iter(links.values()))
-    look_ms = await _time(first.look)
+    look_ms = await _time(first.poll)
     forecast = DemandForecast(ahead_s=2.0, scale=lambda _: 1.0)
 
     async def measure_all() -> None:
@@ -256,7 +256,7 @@
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
         scale=WorkScale(),
-        pacer=LookPacer(),
+        poll_limiter=PollRateLimiter(),
         times=AnswerTimes(),
         pace_memory=PaceMemory(),
         tickets=dispatcher.tickets,
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -6,8 +6,8 @@
 
 from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow, WorkerUnreachableError
 from hyssopway.dispatch.answer_times import AnswerTimes
-from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.dispatch.work_scale import WorkScale
@@ -107,7 +107,7 @@
         calls=calls,
         limits=LIMITS,
         scale=WorkScale(),
-        pacer=LookPacer(),
+        poll_limiter=PollRateLimiter(),
         times=AnswerTimes(),
         pace_memory=PaceMemory(),
         tickets=TicketCache(clock=leadership.clock),
--- a/tests/dispatch/test_advice.py
+++ b/tests/dispatch/test_advice.py
@@ -93,7 +93,7 @@
             await self.leadership.propose(make_vm(name))
             link = self.links[name] = make_link(name, leadership=self.leadership, calls=self.vms)
             link.orders.tickets = self.dispatcher.tickets
-            await link.look()
+            await link.poll()
 
     async def round(self):
         """Runs one round and waits for its orders."""
@@ -132,8 +132,8 @@
     asked = len(advised.advisor.asked)
     assert not await advised.fetcher.ask_next()
     advised.leadership.now += POLICY.validity_ms / 1000 - MARGIN_S
-    await advised.links["vm-2"].look()
-    await advised.links["vm-1"].look()
+    await advised.links["vm-2"].poll()
+    await advised.links["vm-1"].poll()
     assert await advised.fetcher.ask_next()
     step, vms = advised.advisor.asked[asked]
     assert step == "w.0.0"
@@ -208,7 +208,7 @@
         name = f"vm-{number}"
         await advised.leadership.propose(make_vm(name))
         link = advised.links[name] = make_link(name, leadership=advised.leadership, calls=advised.vms)
-        await link.look()
+        await link.poll()
     await advised.leadership.propose(make_workflow("one", steps=(Step(count=1, cpu_millis=1000),)))
     assert await advised.fetcher.ask_next()
     assert len(advised.advisor.asked[0][1]) == 2
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -33,7 +33,7 @@
     assert "vm-1" not in fleet.state.tables.vms
     await controller.take_announcement(make_vm("vm-1"))
     link = controller.links["vm-1"]
-    await link.look()
+    await link.poll()
     assert controller.dispatcher.list_rooms() == {}
     await controller.dispatcher.start_waiting()
     assert vms.orders == []
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -45,7 +45,7 @@
             )
         )
         links[vm_id] = make_link(vm_id, leadership=fleet, calls=vms)
-        await links[vm_id].look()
+        await links[vm_id].poll()
     return Dispatcher(leadership=fleet, links=links)
 
 
--- a/tests/dispatch/test_emptying.py
+++ b/tests/dispatch/test_emptying.py
@@ -23,7 +23,7 @@
     await fleet.propose(StartRuns(fencing_token=fleet.term, starts=starts))
     vms.running = {(start.task, 1): start.vm for start in starts}
     for link in links.values():
-        await link.look()
+        await link.poll()
     dispatcher = Dispatcher(leadership=fleet, links=links)
     return Emptying(leadership=fleet, links=links, dispatcher=dispatcher)
 
@@ -36,7 +36,7 @@
         emptying.step()
         await asyncio.sleep(0)
         for link in emptying.links.values():
-            await link.look()  # the VMs list both tasks as at work still
+            await link.poll()  # the VMs list both tasks as at work still
     assert {task for order, task, _ in vms.orders if order == "stop"} == {"steady.0.0.0"}
 
 
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_holder_machine.py
@@ -50,7 +50,7 @@
         steps = (Step(count=2), Step(count=1, after=(0,)))
         self.run(self.leader.propose(make_workflow("w", steps=steps)))
         self.lead()
-        self.look(VMS, "deliver")
+        self.poll(VMS, "deliver")
         self.start_waiting("deliver", "vm-1")
 
     def run(self, work):
@@ -89,11 +89,11 @@
         self.network.fate = "deliver"
 
     @rule(names=SOME_VMS, fate=FATES)
-    def look(self, names, fate):
+    def poll(self, names, fate):
         """Looks at VMs; the stops that follow meet the same fate."""
         self.network.fate = fate
         for name in names:
-            self.run(self.links[name].look())
+            self.run(self.links[name].poll())
         self.settle_tasks()
         self.network.fate = "deliver"
 
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -66,7 +66,7 @@
     links = {}
     for name in VMS:
         links[name] = make_link(name, leadership=fleet, calls=vms)
-        await links[name].look()
+        await links[name].poll()
     emptying = Emptying(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineList(
         leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
--- a/tests/dispatch/test_vm_link.py
+++ b/tests/dispatch/test_vm_link.py
@@ -10,7 +10,7 @@
 from hyssopway.dispatch import OrderReply, Refusal, WorkerUnreachableError
 from hyssopway.dispatch.lease import RUN_LEASE_S, lease_end
 from hyssopway.dispatch.listed_end import ListedEnd
-from hyssopway.dispatch.look_timing import UNSURE_S
+from hyssopway.dispatch.poll_timing import UNSURE_S
 from hyssopway.workflow import RunEnd, RunOutcome, RunStart, StartRuns
 
 
@@ -19,11 +19,11 @@
     return make_link("vm-1", leadership=fleet, calls=vms)
 
 
-async def look(link, *, times=1, step_s=0.0):
+async def poll(link, *, times=1, step_s=0.0):
     """Runs the link for some looks; the clock of the leader moves in between."""
     for _ in range(times):
         link.leadership.now += step_s
-        await link.look()
+        await link.poll()
 
 
 async def start(link, task="w.0.0.0", run=1):
@@ -36,36 +36,36 @@
 
 async def test_silent_vm_loses_its_runs_after_the_lease(link, vms):
     """Guards against a lease that each unanswered look extends, so that its runs are never taken as ended."""
-    await look(link)
+    await poll(link)
     await start(link)
-    await look(link, step_s=0.5)
+    await poll(link, step_s=0.5)
     vms.silent = True
-    await look(link, times=5, step_s=0.5)
+    await poll(link, times=5, step_s=0.5)
     assert "w.0.0.0" in link.leadership.state.tables.runs
-    await look(link, times=10, step_s=0.5)
+    await poll(link, times=10, step_s=0.5)
     assert "w.0.0.0" not in link.leadership.state.tables.runs
 
 
 async def test_runs_are_kept_while_the_lease_may_last(link, vms):
     """Guards against a second run while the VM may still work on the first."""
-    await look(link)
+    await poll(link)
     await start(link)
-    await look(link)
+    await poll(link)
     vms.silent = True
     granted_at = link.leadership.now
     while link.leadership.now < granted_at + RUN_LEASE_S:
         assert "w.0.0.0" in link.leadership.state.tables.runs
-        await look(link, step_s=0.25)
+        await poll(link, step_s=0.25)
 
 
 async def test_end_is_agreed_before_it_is_acknowledged(link, vms):
     """Guards against an end that the VM forgets and nobody knows."""
-    await look(link)
+    await poll(link)
     await start(link)
     vms.running.clear()
     end = RunEnd(task="w.0.0.0", run=1, outcome=RunOutcome.DONE)
     vms.ends.append(ListedEnd(1, end))
-    await look(link)
+    await poll(link)
     tables = link.leadership.state.tables
     assert tables.workflows["w"].progress[0][0].done == [True, False]
     assert tables.vms["vm-1"].last_end == 1
@@ -73,22 +73,22 @@
 
 async def test_new_boot_under_the_same_identity_loses_the_runs(link, vms):
     """Guards against runs that are waited for on a VM that holds nothing of before."""
-    await look(link)
+    await poll(link)
     await start(link)
     vms.boot, vms.running = 2, {}
-    await look(link)
+    await poll(link)
     tables = link.leadership.state.tables
     assert (tables.vms["vm-1"].boot, tables.runs) == (2, {})
 
 
 async def test_unanswered_start_is_stopped_and_settled(link, vms):
     """Guards against a task that waits for ever for an order that was lost."""
-    await look(link)
+    await poll(link)
     vms.silent = True
     await start(link)
     vms.silent = False
     for _ in range(8):
-        await look(link, step_s=0.3)
+        await poll(link, step_s=0.3)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     assert ("stop", "w.0.0.0", 1) in vms.orders
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("lost", [1, 2, 3])
 async def test_unanswered_start_is_repeated(link, vms, lost):
     """Guards against tasks that wait for a stop and its end each time that a VM leaves an order unanswered."""
-    await look(link)
+    await poll(link)
     vms.lose, vms.timeouts = lost, []
     await start(link)
     assert vms.orders == [("start", "w.0.0.0", 1)] * (lost + 1)
@@ -118,7 +118,7 @@
         monkeypatch.setattr(vms, "start", refuse)
         raise WorkerUnreachableError("lost")
 
-    await look(link)
+    await poll(link)
     monkeypatch.setattr(vms, "start", lose_first)
     await start(link)
     assert "w.0.0.0" in link.leadership.state.tables.runs
@@ -126,7 +126,7 @@
 
 async def test_repeated_start_grants_no_longer_lease(link, vms, monkeypatch):
     """Guards against the runs of a VM that is gone being waited for a second longer for each order on its way."""
-    await look(link)
+    await poll(link)
     first_at = link.leadership.now
 
     async def lose(*, timeout_s, **_):
@@ -141,12 +141,12 @@
 
 async def test_start_is_not_repeated_once_the_vm_lists_the_run(link, vms, monkeypatch):
     """Guards against orders for runs that are known to have started."""
-    await look(link)
+    await poll(link)
 
     async def carry_out_unanswered(*, vm, task, run, **_):
         vms.orders.append(("start", task, run))
         vms.running[task, run] = vm.vm_id
-        await look(link)
+        await poll(link)
         raise WorkerUnreachableError("answer lost")
 
     monkeypatch.setattr(vms, "start", carry_out_unanswered)
@@ -156,7 +156,7 @@
 
 async def test_unanswered_stop_is_repeated(link, vms):
     """Guards against cancelled work that goes on for half a second for each lost stop."""
-    await look(link)
+    await poll(link)
     await start(link)
     vms.lose = 2
     link.orders.ask_stop(task="w.0.0.0", run=1, reason="cancelled")
@@ -167,26 +167,26 @@
 
 async def test_vm_that_leaves_looks_unanswered_is_looked_at_more_often(link, vms):
     """Guards against ends that are seen a second late when a VM leaves a share of all calls unanswered."""
-    await look(link, times=2)
+    await poll(link, times=2)
     calm_s = vms.timeouts[-1]
     vms.lose = 1
-    await look(link, times=3)
+    await poll(link, times=3)
     assert vms.timeouts[-1] <= calm_s / 2
-    await look(link, times=2, step_s=UNSURE_S)
+    await poll(link, times=2, step_s=UNSURE_S)
     assert vms.timeouts[-1] == calm_s
 
 
 async def test_slow_vm_is_given_time_to_answer(link, vms):
     """Guards against a slow VM that is taken for silent because each short look ends before its answer."""
-    await look(link, times=2)
+    await poll(link, times=2)
     vms.lose = 3
-    await look(link, times=4)
+    await poll(link, times=4)
     assert vms.timeouts[-1] >= 0.5
 
 
 async def test_unconfirmed_leader_orders_nothing(link, vms):
     """Guards against orders of a leader that may have a successor."""
-    await look(link)
+    await poll(link)
     link.leadership.is_confirmed = False
     await start(link)
     assert vms.orders == []
