--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -10,7 +10,6 @@
 from hyssopway.workflow import ForgetWorkflows, RegisterVm, RemoveVm
 
 from .advice_fetcher import AdviceFetcher
-from .answer_times import AnswerTimes
 from .dispatcher import Dispatcher
 from .emptying import Emptying
 from .leadership import LeadershipLostError
@@ -20,6 +19,7 @@
 from .pool_load import measure_pools
 from .pool_mover import PoolMover
 from .retention import Retention
+from .rtt_estimator import RttEstimator
 from .vm_link import FORGET_S, VmLink
 from .waves import Waves
 from .work_scale import WorkScale
@@ -53,7 +53,7 @@
         mover: Moves machines between pools.
         poll_limiter: Rate of the polls at all VMs.
         pace_memory: How much tasks that fill disturb those that serve.
-        times: Times that answers to orders take.
+        rtt_estimator: Times that answers to orders take.
         retention: Workflows that ended, and since when.
         tasks: Running tasks by VM.
         reported_at: Local time of the last report of the load.
@@ -72,9 +72,9 @@
         "poll_limiter",
         "reported_at",
         "retention",
+        "rtt_estimator",
         "scale",
         "tasks",
-        "times",
         "waves",
     )
 
@@ -96,7 +96,7 @@
         self.scale = WorkScale()
         self.poll_limiter = PollRateLimiter()
         self.pace_memory = PaceMemory()
-        self.times = AnswerTimes()
+        self.rtt_estimator = RttEstimator()
         self.retention = Retention(keep_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
         self.advice = AdviceFetcher(
@@ -199,7 +199,7 @@
                     limits=self.limits,
                     scale=self.scale,
                     poll_limiter=self.poll_limiter,
-                    times=self.times,
+                    rtt_estimator=self.rtt_estimator,
                     pace_memory=self.pace_memory,
                     tickets=self.dispatcher.tickets,
                     on_change=self.dispatcher.changed.set,
--- a/src/hyssopway/dispatch/answer_times.py
+++ b/src/hyssopway/dispatch/rtt_estimator.py
@@ -12,7 +12,7 @@
 MIN_TIMEOUT_S = 0.04
 MAX_TIMEOUT_S = 0.5
 # An order is repeated for about this long; what has no answer then is settled by a stop.
-REPEAT_S = 1.0
+RETRY_WINDOW_S = 1.0
 MEAN_SHARE = 1 / 8
 DEVIATION_SHARE = 1 / 4
 DEVIATIONS = 4.0
@@ -21,7 +21,7 @@
 START_DEVIATION_S = 0.0125
 
 
-class AnswerTimes:
+class RttEstimator:
     """Times that answers to orders take.
 
     Attributes:
@@ -35,20 +35,20 @@
         self.mean_s = START_MEAN_S
         self.deviation_s = START_DEVIATION_S
 
-    def note_answer(self, *, took_s: float) -> None:
+    def record_rtt(self, *, rtt_s: float) -> None:
         """Takes in how long an answer took."""
-        distance_s = abs(self.mean_s - took_s)
+        distance_s = abs(self.mean_s - rtt_s)
         self.deviation_s += DEVIATION_SHARE * (distance_s - self.deviation_s)
-        self.mean_s += MEAN_SHARE * (took_s - self.mean_s)
+        self.mean_s += MEAN_SHARE * (rtt_s - self.mean_s)
 
     def choose_timeouts(self) -> list[float]:
         """Returns the longest wait for an answer at each try of an order, in seconds."""
         wait_s = max(MIN_TIMEOUT_S, self.mean_s + DEVIATIONS * self.deviation_s)
         timeouts: list[float] = []
-        while sum(timeouts) < REPEAT_S:
+        while sum(timeouts) < RETRY_WINDOW_S:
             timeouts.append(min(wait_s, MAX_TIMEOUT_S))
             wait_s *= 2
         return timeouts
 
 
-__all__ = ["AnswerTimes"]
+__all__ = ["RttEstimator"]
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -18,10 +18,10 @@
 
     from hyssopway.workflow import ActiveRun, RunEnd, VmRecord
 
-    from .answer_times import AnswerTimes
     from .leadership import Leadership
     from .lease import VmLease
     from .order_reply import OrderReply
+    from .rtt_estimator import RttEstimator
     from .ticket_cache import TicketCache
     from .worker_calls import WorkerCalls
 
@@ -38,7 +38,7 @@
         calls: Client of worker VMs.
         lease: Bound on the lease of the VM's runs.
         tickets: Tickets of steps whose queue has an advisor.
-        times: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
+        rtt_estimator: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
             one, and refuses one that arrives after the end of the run, so orders may be repeated.
         flights: Orders by run key.
         sending: Stops and changes of pace on their way.
@@ -55,9 +55,9 @@
         "paces",
         "pacing",
         "paused_until",
+        "rtt_estimator",
         "sending",
         "tickets",
-        "times",
         "vm_id",
     )
 
@@ -68,14 +68,14 @@
         leadership: Leadership,
         calls: WorkerCalls,
         lease: VmLease,
-        times: AnswerTimes,
+        rtt_estimator: RttEstimator,
         tickets: TicketCache,
     ) -> None:
         self.vm_id = vm_id
         self.leadership = leadership
         self.calls = calls
         self.lease = lease
-        self.times = times
+        self.rtt_estimator = rtt_estimator
         self.tickets = tickets
         self.flights: dict[str, Flight] = {}
         self.sending: set[asyncio.Task[None]] = set()
@@ -106,7 +106,7 @@
         until_ms = self.lease.renew(now=self.leadership.clock())
         is_sent = False
         try:
-            for timeout_s in self.times.choose_timeouts():
+            for timeout_s in self.rtt_estimator.choose_timeouts():
                 record = self.record
                 if record is None or record.boot != run.boot or until_ms is None:
                     break
@@ -132,7 +132,7 @@
                     self._log_unanswered("start", key=run.key, error=error)
                     is_sent = True
                     continue
-                self.times.note_answer(took_s=self.leadership.clock() - sent_at)
+                self.rtt_estimator.record_rtt(rtt_s=self.leadership.clock() - sent_at)
                 return self._take_start_reply(run, flight=flight, reply=reply, is_repeated=is_sent)
         finally:
             flight.is_sending = False
@@ -204,7 +204,7 @@
     async def _pace(self, *, task: str, run: int, percent: int) -> None:
         key = f"{task}/{run}"
         try:
-            for timeout_s in self.times.choose_timeouts():
+            for timeout_s in self.rtt_estimator.choose_timeouts():
                 record = self.record
                 if record is None or not self.leadership.may_order():
                     return
@@ -227,7 +227,7 @@
             self.pacing.discard(key)
 
     async def _stop(self, *, task: str, run: int, flight: Flight) -> None:
-        for timeout_s in self.times.choose_timeouts():
+        for timeout_s in self.rtt_estimator.choose_timeouts():
             record = self.record
             if record is None or not self.leadership.may_order():
                 return
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -23,12 +23,12 @@
 
     from hyssopway.workflow import ActiveRun, VmRecord
 
-    from .answer_times import AnswerTimes
     from .leadership import Leadership
     from .pace_memory import PaceMemory
     from .platform_limits import PlatformLimits
     from .poll_rate_limiter import PollRateLimiter
     from .poll_reply import PollReply
+    from .rtt_estimator import RttEstimator
     from .running_row import RunningRow
     from .ticket_cache import TicketCache
     from .work_scale import WorkScale
@@ -100,7 +100,7 @@
         limits: PlatformLimits,
         scale: WorkScale,
         poll_limiter: PollRateLimiter,
-        times: AnswerTimes,
+        rtt_estimator: RttEstimator,
         pace_memory: PaceMemory,
         tickets: TicketCache,
         on_change: Callable[[], None],
@@ -118,7 +118,12 @@
         granted_by_others = lease_end(granted_at=leadership.started_at, length_s=length_s)
         self.lease = VmLease(length_s=length_s, ends_at=granted_by_others)
         self.orders = RunOrders(
-            vm_id=vm_id, leadership=leadership, calls=calls, lease=self.lease, times=times, tickets=tickets
+            vm_id=vm_id,
+            leadership=leadership,
+            calls=calls,
+            lease=self.lease,
+            rtt_estimator=rtt_estimator,
+            tickets=tickets,
         )
         self.pace = VmPace(
             leadership=leadership, orders=self.orders, memory=pace_memory, pacing_s=limits.pacing_s
@@ -184,15 +189,15 @@
             self._forget_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
-        times = self.polls.choose(now=sent_at, is_fenced=self.is_fenced)
+        poll_times = self.polls.choose(now=sent_at, is_fenced=self.is_fenced)
         reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
             last_end=record.last_end,
             # A VM that is silent gets no new lease: an unanswered look may have extended it.
             lease_until_ms=self.lease.renew(now=sent_at) if self.is_fenced else None,
-            wait_ms=times.wait_ms,
-            timeout_s=times.timeout_s,
+            wait_ms=poll_times.wait_ms,
+            timeout_s=poll_times.timeout_s,
         )
         self.polls.note_answered()
         if reply.boot != record.boot:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -14,12 +14,12 @@
 import numpy as np
 
 from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow
-from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.pace_memory import PaceMemory
 from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.pool_load import measure_pools
+from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import (
@@ -257,7 +257,7 @@
         limits=limits,
         scale=WorkScale(),
         poll_limiter=PollRateLimiter(),
-        times=AnswerTimes(),
+        rtt_estimator=RttEstimator(),
         pace_memory=PaceMemory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -5,9 +5,9 @@
 import pytest
 
 from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow, WorkerUnreachableError
-from hyssopway.dispatch.answer_times import AnswerTimes
 from hyssopway.dispatch.pace_memory import PaceMemory
 from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
+from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.dispatch.work_scale import WorkScale
@@ -108,7 +108,7 @@
         limits=LIMITS,
         scale=WorkScale(),
         poll_limiter=PollRateLimiter(),
-        times=AnswerTimes(),
+        rtt_estimator=RttEstimator(),
         pace_memory=PaceMemory(),
         tickets=TicketCache(clock=leadership.clock),
         on_change=lambda: None,
--- a/tests/dispatch/test_answer_times.py
+++ b/tests/dispatch/test_rtt_estimator.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from hyssopway.dispatch.answer_times import MAX_TIMEOUT_S, REPEAT_S, AnswerTimes
+from hyssopway.dispatch.rtt_estimator import MAX_TIMEOUT_S, RETRY_WINDOW_S, RttEstimator
 
 
 def with_answers(*times_s):
-    times = AnswerTimes()
-    for took_s in times_s:
-        times.note_answer(took_s=took_s)
-    return times
+    estimator = RttEstimator()
+    for rtt_s in times_s:
+        estimator.record_rtt(rtt_s=rtt_s)
+    return estimator
 
 
 def test_step_of_eight_tasks_starts_in_time_on_vms_that_lose_orders():
@@ -37,12 +37,12 @@
 def test_slow_answers_are_waited_for(took_s):
     """Guards against a leader at its peak that repeats orders whose answers are on their way."""
     rng = random.Random(8)
-    times = with_answers(*(took_s * rng.uniform(0.7, 1.3) for _ in range(50)))
-    assert times.choose_timeouts()[0] >= min(took_s * 1.3, MAX_TIMEOUT_S)
+    estimator = with_answers(*(took_s * rng.uniform(0.7, 1.3) for _ in range(50)))
+    assert estimator.choose_timeouts()[0] >= min(took_s * 1.3, MAX_TIMEOUT_S)
 
 
 @pytest.mark.parametrize("took_s", [0.0, 0.005, 0.1, 5.0])
 def test_order_is_given_up_in_bounded_time(took_s):
     """Guards against a task that waits for a VM that is gone."""
     timeouts = with_answers(*[took_s] * 50).choose_timeouts()
-    assert REPEAT_S <= sum(timeouts) <= REPEAT_S + MAX_TIMEOUT_S
+    assert RETRY_WINDOW_S <= sum(timeouts) <= RETRY_WINDOW_S + MAX_TIMEOUT_S
