--- a/src/hyssopway/dispatch/__init__.py
+++ b/src/hyssopway/dispatch/__init__.py
@@ -6,6 +6,7 @@
 from .leader_controller import LeaderController
 from .leadership import Leadership, LeadershipLostError
 from .listed_end import ListedEnd
+from .listed_run import ListedRun
 from .machine_calls import (
     Machine,
     MachineCallError,
@@ -16,7 +17,6 @@
 from .order_reply import OrderReply, Refusal
 from .platform_limits import PlatformLimits
 from .poll_reply import PollReply
-from .running_row import RunningRow
 from .worker_calls import OtherBootError, WorkerCalls, WorkerUnreachableError
 
 __all__ = [
@@ -26,6 +26,7 @@
     "Leadership",
     "LeadershipLostError",
     "ListedEnd",
+    "ListedRun",
     "Machine",
     "MachineCallError",
     "MachineCalls",
@@ -36,7 +37,6 @@
     "PlatformLimits",
     "PollReply",
     "Refusal",
-    "RunningRow",
     "WorkerCalls",
     "WorkerUnreachableError",
 ]
--- a/src/hyssopway/dispatch/emptying.py
+++ b/src/hyssopway/dispatch/emptying.py
@@ -98,7 +98,7 @@
                 continue  # a listing may be older than the stop
             if not link.in_contact(self.leadership.clock()):
                 continue
-            row = link.rows.get(key)
+            row = link.listed_runs.get(key)
             if row is not None:
                 return row.percent == AT_WORK_PERCENT
         return False
--- a/src/hyssopway/dispatch/running_row.py
+++ b/src/hyssopway/dispatch/listed_run.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 
-class RunningRow(NamedTuple):
+class ListedRun(NamedTuple):
     """A run in progress; a tuple, since each look at a VM lists dozens.
 
     Attributes:
@@ -24,4 +24,4 @@
     reading: int
 
 
-__all__ = ["RunningRow"]
+__all__ = ["ListedRun"]
--- a/src/hyssopway/dispatch/flight.py
+++ b/src/hyssopway/dispatch/order_state.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Flight:
+class OrderState:
     """State of one order to start a run.
 
     Attributes:
@@ -25,9 +25,9 @@
     unlisted_since: float = float("inf")
 
     @property
-    def is_known(self) -> bool:
+    def is_start_settled(self) -> bool:
         """Whether the VM accepted the run or was asked to stop it, so that its start is not repeated."""
         return self.accepted_at != float("inf") or self.stop_asked_at != float("-inf")
 
 
-__all__ = ["Flight"]
+__all__ = ["OrderState"]
--- a/src/hyssopway/dispatch/poll_reply.py
+++ b/src/hyssopway/dispatch/poll_reply.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from .listed_end import ListedEnd
-from .running_row import RunningRow
+from .listed_run import ListedRun
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -22,7 +22,7 @@
 
     clock_ms: int
     boot: int
-    running: tuple[RunningRow, ...]
+    running: tuple[ListedRun, ...]
     ends: tuple[ListedEnd, ...]
     is_complete: bool
 
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -8,8 +8,8 @@
 from hyssopway.event import Event, log_event
 from hyssopway.workflow import RunOutcome, TaskId
 
-from .flight import Flight
 from .order_reply import Refusal
+from .order_state import OrderState
 from .run_ends import end_run
 from .worker_calls import WorkerUnreachableError
 
@@ -40,7 +40,7 @@
         tickets: Tickets of steps whose queue has an advisor.
         rtt_estimator: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
             one, and refuses one that arrives after the end of the run, so orders may be repeated.
-        flights: Orders by run key.
+        order_states: Orders by run key.
         sending: Stops and changes of pace on their way.
         paces: Pace in percent that the VM confirmed, by run key.
         pacing: Keys of runs whose change of pace is on its way.
@@ -49,9 +49,9 @@
 
     __slots__ = (
         "calls",
-        "flights",
         "leadership",
         "lease",
+        "order_states",
         "paces",
         "pacing",
         "paused_until",
@@ -77,7 +77,7 @@
         self.lease = lease
         self.rtt_estimator = rtt_estimator
         self.tickets = tickets
-        self.flights: dict[str, Flight] = {}
+        self.order_states: dict[str, OrderState] = {}
         self.sending: set[asyncio.Task[None]] = set()
         self.paces: dict[str, int] = {}
         self.pacing: set[str] = set()
@@ -90,18 +90,18 @@
 
     def expect_start(self, *, task: str, run: int) -> None:
         """Notes that a start is about to be agreed and ordered."""
-        self.flights[f"{task}/{run}"] = Flight(is_sending=True)
+        self.order_states[f"{task}/{run}"] = OrderState(is_sending=True)
 
     def drop_start(self, *, task: str, run: int) -> None:
         """Forgets a start that was not agreed."""
-        self.flights.pop(f"{task}/{run}", None)
+        self.order_states.pop(f"{task}/{run}", None)
 
     async def start(
         self, run: ActiveRun, *, specification: str, checkpoint: str, needs_ticket: bool = False
     ) -> RunEnd | None:
         """Orders an agreed start; returns the end of a run that certainly does not start."""
         step_name = TaskId.parse(run.task).step_name
-        flight = self.flights.setdefault(run.key, Flight(is_sending=True))
+        order_state = self.order_states.setdefault(run.key, OrderState(is_sending=True))
         # Repeated orders carry the same lease: a VM that is gone must not be waited for any longer.
         until_ms = self.lease.renew(now=self.leadership.clock())
         is_sent = False
@@ -110,7 +110,7 @@
                 record = self.record
                 if record is None or record.boot != run.boot or until_ms is None:
                     break
-                if not self.leadership.may_order() or flight.is_known:
+                if not self.leadership.may_order() or order_state.is_start_settled:
                     break
                 ticket = self.tickets.read(step_name, vm=self.vm_id, boot=run.boot) if needs_ticket else ""
                 if needs_ticket and not ticket:
@@ -133,16 +133,16 @@
                     is_sent = True
                     continue
                 self.rtt_estimator.record_rtt(rtt_s=self.leadership.clock() - sent_at)
-                return self._take_start_reply(run, flight=flight, reply=reply, is_repeated=is_sent)
+                return self._take_start_reply(run, order_state=order_state, reply=reply, is_repeated=is_sent)
         finally:
-            flight.is_sending = False
+            order_state.is_sending = False
         return None if is_sent else end_run(run, RunOutcome.NOT_STARTED)
 
     def _take_start_reply(
-        self, run: ActiveRun, *, flight: Flight, reply: OrderReply, is_repeated: bool
+        self, run: ActiveRun, *, order_state: OrderState, reply: OrderReply, is_repeated: bool
     ) -> RunEnd | None:
         if reply.refusal is None:
-            flight.accepted_at = min(flight.accepted_at, self.leadership.clock())
+            order_state.accepted_at = min(order_state.accepted_at, self.leadership.clock())
             return None
         log_event(Event.ORDER_REFUSED, order="start", run=run.key, vm=self.vm_id, reason=reply.refusal)
         if reply.refusal is Refusal.NO_TICKET:
@@ -157,18 +157,18 @@
 
     def is_stop_asked(self, key: str) -> bool:
         """Tells whether a stop of a run was sent."""
-        flight = self.flights.get(key)
-        return flight is not None and flight.stop_asked_at > float("-inf")
+        order_state = self.order_states.get(key)
+        return order_state is not None and order_state.stop_asked_at > float("-inf")
 
     def ask_stop(self, *, task: str, run: int, reason: str) -> None:
         """Sends a stop unless one was sent a moment ago."""
-        flight = self.flights.setdefault(f"{task}/{run}", Flight())
+        order_state = self.order_states.setdefault(f"{task}/{run}", OrderState())
         now = self.leadership.clock()
-        if now - flight.stop_asked_at < STOP_AGAIN_S or not self.leadership.may_order():
+        if now - order_state.stop_asked_at < STOP_AGAIN_S or not self.leadership.may_order():
             return
-        flight.stop_asked_at = now
+        order_state.stop_asked_at = now
         log_event(Event.STOP_ORDERED, run=f"{task}/{run}", vm=self.vm_id, reason=reason)
-        self._send(self._stop(task=task, run=run, flight=flight))
+        self._send(self._stop(task=task, run=run, order_state=order_state))
 
     def ask_pace(self, *, task: str, run: int, percent: int) -> None:
         """Sends a change of pace unless one is on its way."""
@@ -181,20 +181,20 @@
 
     def forget_boot(self) -> None:
         """Forgets the runs of a boot that has ended."""
-        self.flights.clear()
+        self.order_states.clear()
         self.paces.clear()
 
-    def forget_run(self, key: str) -> Flight | None:
+    def forget_run(self, key: str) -> OrderState | None:
         """Forgets a run that has ended and returns what was known of its start."""
         self.paces.pop(key, None)
-        return self.flights.pop(key, None)
+        return self.order_states.pop(key, None)
 
     def note_listed(self, keys: Iterable[str], *, now: float) -> None:
         """Takes in the runs that the VM listed."""
         for key in keys:
-            flight = self.flights.setdefault(key, Flight())
-            flight.accepted_at = min(flight.accepted_at, now)
-            flight.unlisted_since = float("inf")
+            order_state = self.order_states.setdefault(key, OrderState())
+            order_state.accepted_at = min(order_state.accepted_at, now)
+            order_state.unlisted_since = float("inf")
 
     def _send(self, order: Coroutine[None, None, None]) -> None:
         sending = asyncio.create_task(order)
@@ -226,7 +226,7 @@
         finally:
             self.pacing.discard(key)
 
-    async def _stop(self, *, task: str, run: int, flight: Flight) -> None:
+    async def _stop(self, *, task: str, run: int, order_state: OrderState) -> None:
         for timeout_s in self.rtt_estimator.choose_timeouts():
             record = self.record
             if record is None or not self.leadership.may_order():
@@ -239,7 +239,7 @@
                 self._log_unanswered("stop", key=f"{task}/{run}", error=error)
                 continue
             if reply.refusal is None:
-                flight.stopped_at = min(flight.stopped_at, self.leadership.clock())
+                order_state.stopped_at = min(order_state.stopped_at, self.leadership.clock())
             return
 
     def _log_unanswered(self, order: str, *, key: str, error: WorkerUnreachableError) -> None:
--- a/src/hyssopway/dispatch/settling.py
+++ b/src/hyssopway/dispatch/settling.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from .flight import Flight
+    from .order_state import OrderState
 
 
 class Settlement(Enum):
@@ -24,7 +24,7 @@
 
 def settle_unlisted(
     *,
-    flight: Flight,
+    order_state: OrderState,
     run_token: int,
     own_token: int,
     fenced_at: float,
@@ -37,22 +37,22 @@
     when it stays unlisted for as long as a stop may take, from when its start has become impossible.
 
     Args:
-        flight: The order as this leader knows it; a fresh one when another leader sent it.
+        order_state: The order as this leader knows it; a fresh one when another leader sent it.
         run_token: Fencing token under which the run was agreed.
         own_token: Fencing token that the VM answered.
         fenced_at: Local time at which the VM first answered that token.
         listing_sent_at: Local time at which the listing was asked for.
         stop_s: Longest time that the VM takes to stop a run.
     """
-    if flight.is_sending:
+    if order_state.is_sending:
         return Settlement.WAIT
-    was_accepted = flight.accepted_at != float("inf")
+    was_accepted = order_state.accepted_at != float("inf")
     # The VM has seen the higher token, so an order of a former leader does nothing from then on.
-    settled_since = fenced_at if run_token < own_token else flight.stopped_at
-    settled_since = min(settled_since, flight.accepted_at)
+    settled_since = fenced_at if run_token < own_token else order_state.stopped_at
+    settled_since = min(settled_since, order_state.accepted_at)
     if settled_since == float("inf"):
         return Settlement.STOP
-    if listing_sent_at < max(settled_since, flight.unlisted_since) + stop_s:
+    if listing_sent_at < max(settled_since, order_state.unlisted_since) + stop_s:
         return Settlement.WAIT
     return Settlement.VANISHED if was_accepted else Settlement.NEVER_RAN
 
--- a/src/hyssopway/dispatch/stall_watch.py
+++ b/src/hyssopway/dispatch/stall_watch.py
@@ -15,7 +15,7 @@
 
     from hyssopway.workflow import Workflow
 
-    from .running_row import RunningRow
+    from .listed_run import ListedRun
 
 # Long enough for a busy VM to list progress twice.
 MIN_STALL_S = 1.2
@@ -44,10 +44,10 @@
         self.seen = fresh
 
     def find_stalled(
-        self, rows: Iterable[RunningRow], *, workflows: dict[str, Workflow], now: float
-    ) -> list[RunningRow]:
+        self, rows: Iterable[ListedRun], *, workflows: dict[str, Workflow], now: float
+    ) -> list[ListedRun]:
         """Takes in a listing and returns the runs of short tasks that stand still."""
-        watched: list[tuple[RunningRow, int]] = []
+        watched: list[tuple[ListedRun, int]] = []
         for row in rows:
             task = TaskId.parse(row.task)
             workflow = workflows.get(task.workflow)
--- a/src/hyssopway/dispatch/unlisted_runs.py
+++ b/src/hyssopway/dispatch/unlisted_runs.py
@@ -6,7 +6,7 @@
 
 from hyssopway.workflow import RunOutcome
 
-from .flight import Flight
+from .order_state import OrderState
 from .run_ends import end_run
 from .settling import Settlement, settle_unlisted
 
@@ -49,10 +49,10 @@
             run = self._find(key)
             if run is None:
                 continue
-            flight = self.orders.flights.setdefault(key, Flight())
-            flight.unlisted_since = min(flight.unlisted_since, sent_at)
+            order_state = self.orders.order_states.setdefault(key, OrderState())
+            order_state.unlisted_since = min(order_state.unlisted_since, sent_at)
             decision = settle_unlisted(
-                flight=flight,
+                order_state=order_state,
                 run_token=run.fencing_token,
                 own_token=self.leadership.term,
                 fenced_at=fenced_at,
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -24,12 +24,12 @@
     from hyssopway.workflow import ActiveRun, VmRecord
 
     from .leadership import Leadership
+    from .listed_run import ListedRun
     from .pace_memory import PaceMemory
     from .platform_limits import PlatformLimits
     from .poll_rate_limiter import PollRateLimiter
     from .poll_reply import PollReply
     from .rtt_estimator import RttEstimator
-    from .running_row import RunningRow
     from .ticket_cache import TicketCache
     from .work_scale import WorkScale
     from .worker_calls import WorkerCalls
@@ -65,7 +65,7 @@
         answered_at: Local time of its last answer.
         heard_at: Local time of its last answer or announcement.
         stalls: Progress of its runs.
-        rows: Runs that it listed last, by key.
+        listed_runs: Runs that it listed last, by key.
         failures: Runs that failed there in a row.
     """
 
@@ -79,12 +79,12 @@
         "is_fenced",
         "leadership",
         "lease",
+        "listed_runs",
         "on_change",
         "orders",
         "pace",
         "poll_limiter",
         "polls",
-        "rows",
         "scale",
         "stalls",
         "unlisted",
@@ -135,7 +135,7 @@
         self.fenced_at = float("inf")
         self.answered_at = float("-inf")
         self.heard_at = leadership.clock()
-        self.rows: dict[str, RunningRow] = {}
+        self.listed_runs: dict[str, ListedRun] = {}
         self.failures = 0
 
     @property
@@ -210,10 +210,10 @@
             self.is_fenced = True
             self.fenced_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
-        self.rows = {f"{row.task}/{row.run}": row for row in reply.running}
-        self.orders.note_listed(self.rows, now=now)
+        self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
+        self.orders.note_listed(self.listed_runs, now=now)
         self._stop_stalled(now)
-        self.pace.follow(self.rows, now=now)
+        self.pace.follow(self.listed_runs, now=now)
         if reply.ends:
             await self._take_ends(record, reply=reply)
         await self._settle(record, reply=reply, sent_at=sent_at)
@@ -225,9 +225,9 @@
     async def _take_ends(self, record: VmRecord, *, reply: PollReply) -> None:
         for listed in reply.ends:
             end = listed.end
-            flight = self.orders.forget_run(f"{end.task}/{end.run}")
-            if end.outcome is RunOutcome.DONE and flight is not None:
-                self._learn(end, accepted_at=flight.accepted_at)
+            order_state = self.orders.forget_run(f"{end.task}/{end.run}")
+            if end.outcome is RunOutcome.DONE and order_state is not None:
+                self._learn(end, accepted_at=order_state.accepted_at)
             if end.outcome is RunOutcome.FAILED:
                 self.failures += 1
             elif end.outcome is RunOutcome.DONE:
@@ -239,7 +239,7 @@
 
     def _stop_stalled(self, now: float) -> None:
         workflows = self.leadership.state.tables.workflows
-        for row in self.stalls.find_stalled(self.rows.values(), workflows=workflows, now=now):
+        for row in self.stalls.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
             key = f"{row.task}/{row.run}"
             log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
@@ -258,11 +258,11 @@
     async def _settle(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
         if not reply.is_complete:
             return
-        listed = set(self.rows) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
+        listed = set(self.listed_runs) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
         settled = self.unlisted.conclude(record, listed=listed, sent_at=sent_at, fenced_at=self.fenced_at)
         if settled:
             await self._end(settled)
-        for key, row in self.rows.items():
+        for key, row in self.listed_runs.items():
             if key not in record.runs:
                 # Its end was concluded while the VM was out of contact.
                 self.orders.ask_stop(task=row.task, run=row.run, reason="its end was concluded before")
@@ -286,7 +286,7 @@
         if not record.runs or self.leadership.clock() <= self.lease.ends_at:
             return
         log_event(Event.LEASE_ENDED, vm=self.vm_id, runs=len(record.runs))
-        self.rows = {}
+        self.listed_runs = {}
         await self._end(end_all_runs(record, RunOutcome.LAPSED))
         self.on_change()
 
@@ -317,7 +317,7 @@
 
     def _forget_boot(self) -> None:
         self.is_fenced = False
-        self.rows = {}
+        self.listed_runs = {}
         self.orders.forget_boot()
         self.lease.forget_clock()
 
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -12,9 +12,9 @@
     from hyssopway.workflow import Step
 
     from .leadership import Leadership
+    from .listed_run import ListedRun
     from .pace_memory import PaceMemory
     from .run_orders import RunOrders
-    from .running_row import RunningRow
 
 AT_WORK_PERCENT = 100
 
@@ -37,7 +37,7 @@
         self.orders = orders
         self.control = PaceControl(memory=memory, pacing_s=pacing_s)
 
-    def follow(self, rows: dict[str, RunningRow], *, now: float) -> None:
+    def follow(self, rows: dict[str, ListedRun], *, now: float) -> None:
         """Takes in a listing of the VM's runs and orders the pace of those that fill."""
         use = self.leadership.state.indexes.vm_use.get(self.orders.vm_id)
         if use is None or not use.filling:
@@ -54,7 +54,7 @@
             if self._ordered_percent(key, row=rows[key]) != percent:
                 self.orders.ask_pace(task=rows[key].task, run=rows[key].run, percent=percent)
 
-    def _ordered_percent(self, key: str, *, row: RunningRow) -> int | None:
+    def _ordered_percent(self, key: str, *, row: ListedRun) -> int | None:
         """Returns the pace that a run has, or None when a former leader may have changed it."""
         known = self.orders.paces.get(key)
         if known is not None:
@@ -63,7 +63,7 @@
         is_own = any(run.key == key and run.fencing_token == self.leadership.term for run in runs)
         return FULL_PERCENT if is_own else None
 
-    def _find_step(self, row: RunningRow) -> Step | None:
+    def _find_step(self, row: ListedRun) -> Step | None:
         task = TaskId.parse(row.task)
         workflow = self.leadership.state.tables.workflows.get(task.workflow)
         return workflow.spec.steps[task.step] if workflow is not None else None
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -51,8 +51,8 @@
                 "in_contact": link.in_contact(now),
                 "answer_age_s": now - link.answered_at,
                 "lease_left_s": link.lease.ends_at - now,
-                "listed": sorted(link.rows),
-                "orders": sorted(link.orders.flights),
+                "listed": sorted(link.listed_runs),
+                "orders": sorted(link.orders.order_states),
                 "pause_left_s": max(0.0, link.orders.paused_until - now),
                 "failures": link.failures,
             }
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -13,7 +13,7 @@
 
 import numpy as np
 
-from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow
+from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.pace_memory import PaceMemory
@@ -83,7 +83,7 @@
     """VMs that accept every order and list what runs."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[RunningRow]] = {}
+        self.rows: dict[str, list[ListedRun]] = {}
 
     async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
         """Lists the runs of a VM."""
@@ -92,7 +92,7 @@
 
     async def start(self, *, vm: VmRecord, task: str, run: int, **_: Any) -> OrderReply:
         """Starts a run."""
-        self.rows.setdefault(vm.vm_id, []).append(RunningRow(task, run, "", 50, 0))
+        self.rows.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
         return OrderReply()
 
 
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hyssopway.dispatch import OrderReply, PlatformLimits, PollReply, RunningRow, WorkerUnreachableError
+from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply, WorkerUnreachableError
 from hyssopway.dispatch.pace_memory import PaceMemory
 from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.rtt_estimator import RttEstimator
@@ -76,9 +76,7 @@
         self.leases.append(lease_until_ms)
         self._answer(timeout_s)
         rows = tuple(
-            RunningRow(task, run, "", 100, 0)
-            for (task, run), name in self.running.items()
-            if name == vm.vm_id
+            ListedRun(task, run, "", 100, 0) for (task, run), name in self.running.items() if name == vm.vm_id
         )
         return PollReply(
             clock_ms=round(self.leadership.now * 1000),
--- a/tests/dispatch/model_worker.py
+++ b/tests/dispatch/model_worker.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from hyssopway.dispatch import OrderReply, PollReply, Refusal, RunningRow, WorkerUnreachableError
+from hyssopway.dispatch import ListedRun, OrderReply, PollReply, Refusal, WorkerUnreachableError
 from hyssopway.dispatch.lease import CLOCK_DRIFT
 from hyssopway.dispatch.listed_end import ListedEnd
 from hyssopway.workflow import RunEnd, RunOutcome
@@ -98,7 +98,7 @@
         if lease_until_ms is not None:
             self.lease_until_ms = max(self.lease_until_ms, lease_until_ms)
         self.ends = [end for end in self.ends if end.number > last_end]
-        rows = tuple(RunningRow(task, run, "", 50, 0) for task, run in self.live.items())
+        rows = tuple(ListedRun(task, run, "", 50, 0) for task, run in self.live.items())
         return PollReply(
             clock_ms=int(self.clock_ms), boot=self.boot, running=rows, ends=tuple(self.ends), is_complete=True
         )
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dispatch.conftest import make_link
-from hyssopway.dispatch import OrderReply, RunningRow
+from hyssopway.dispatch import ListedRun, OrderReply
 from hyssopway.dispatch.pace_control import OWN_LOAD_S, PaceControl, ServingReading
 from hyssopway.dispatch.pace_memory import FIRST_PERCENT, PaceMemory
 from hyssopway.workflow import StartRuns, Step
@@ -152,9 +152,9 @@
 
 def rows(tail_ms):
     listed = [
-        RunningRow("mixed.0.0.0", 1, "", 100, tail_ms),
-        RunningRow("mixed.0.1.0", 1, "", 10, 500),
-        RunningRow("mixed.0.1.1", 1, "", 10, 500),
+        ListedRun("mixed.0.0.0", 1, "", 100, tail_ms),
+        ListedRun("mixed.0.1.0", 1, "", 10, 500),
+        ListedRun("mixed.0.1.1", 1, "", 10, 500),
     ]
     return {f"{row.task}/{row.run}": row for row in listed}
 
--- a/tests/dispatch/test_vm_link.py
+++ b/tests/dispatch/test_vm_link.py
@@ -162,7 +162,7 @@
     link.orders.ask_stop(task="w.0.0.0", run=1, reason="cancelled")
     await asyncio.gather(*link.orders.sending)
     assert vms.orders.count(("stop", "w.0.0.0", 1)) == 3
-    assert link.orders.flights["w.0.0.0/1"].stopped_at == link.leadership.now
+    assert link.orders.order_states["w.0.0.0/1"].stopped_at == link.leadership.now
 
 
 async def test_vm_that_leaves_looks_unanswered_is_looked_at_more_often(link, vms):
