--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -92,7 +92,7 @@
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
-                link.orders.ask_stop(task=task, run=int(run), reason="its task needs it no more")
+                link.orders.request_stop(task=task, run=int(run), reason="its task needs it no more")
 
     async def _add_due_occurrences(self) -> None:
         state = self.leadership.state
--- a/src/hyssopway/dispatch/emptying.py
+++ b/src/hyssopway/dispatch/emptying.py
@@ -88,13 +88,13 @@
             self._stop(task, run=int(run), link=link)
 
     def _stop(self, task: TaskId, *, run: int, link: VmLink) -> None:
-        link.orders.ask_stop(task=task.name, run=run, reason="its VM is emptied")
+        link.orders.request_stop(task=task.name, run=run, reason="its VM is emptied")
 
     def _is_at_work(self, key: str) -> bool:
         task = key.rpartition("/")[0]
         for run in self.leadership.state.tables.runs.get(task, ()):
             link = self.links.get(run.vm)
-            if link is None or run.key != key or link.orders.is_stop_asked(key):
+            if link is None or run.key != key or link.orders.is_stop_requested(key):
                 continue  # a listing may be older than the stop
             if not link.in_contact(self.leadership.clock()):
                 continue
--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -160,7 +160,7 @@
             for task in (*running.values(), *self.tasks.values(), *self.dispatcher.sending):
                 task.cancel()
 
-    async def take_announcement(self, command: RegisterVm) -> None:
+    async def handle_announcement(self, command: RegisterVm) -> None:
         """Takes in what a VM says of itself; agrees on it only when something changed."""
         link = self.links.get(command.vm)
         if link is not None:
@@ -178,7 +178,7 @@
         await self.leadership.propose(command)
         self._follow_vms()
 
-    async def take_departure(self, *, vm: str) -> None:
+    async def handle_departure(self, *, vm: str) -> None:
         """Takes in that a VM has ended."""
         known = self.leadership.state.tables.vms.get(vm)
         if known is not None:
--- a/src/hyssopway/dispatch/order_budget.py
+++ b/src/hyssopway/dispatch/order_rate_limiter.py
@@ -12,30 +12,30 @@
 KEEP_S = 0.25
 
 
-class OrderBudget:
+class OrderRateLimiter:
     """Rate limit of one sender of orders.
 
     Attributes:
         rate_per_s: Orders a second in the long run.
-        credit: Orders that may be sent now.
-        counted_at: Local time at which `credit` was counted.
+        tokens: Orders that may be sent now.
+        counted_at: Local time at which `tokens` was counted.
     """
 
-    __slots__ = ("counted_at", "credit", "rate_per_s")
+    __slots__ = ("counted_at", "rate_per_s", "tokens")
 
     def __init__(self, *, accepted_per_s: float, now: float) -> None:
         self.rate_per_s = accepted_per_s * RATE_SHARE
-        self.credit = max(1.0, self.rate_per_s * KEEP_S)
+        self.tokens = max(1.0, self.rate_per_s * KEEP_S)
         self.counted_at = now
 
-    def take(self, wanted: int, *, now: float) -> int:
+    def acquire(self, wanted: int, *, now: float) -> int:
         """Returns how many of the wanted orders may be sent now, and counts them as sent."""
         most = max(1.0, self.rate_per_s * KEEP_S)
-        self.credit = min(most, self.credit + self.rate_per_s * max(0.0, now - self.counted_at))
+        self.tokens = min(most, self.tokens + self.rate_per_s * max(0.0, now - self.counted_at))
         self.counted_at = now
-        granted = min(wanted, int(self.credit))
-        self.credit -= granted
+        granted = min(wanted, int(self.tokens))
+        self.tokens -= granted
         return granted
 
 
-__all__ = ["OrderBudget"]
+__all__ = ["OrderRateLimiter"]
--- a/src/hyssopway/dispatch/pool_mover.py
+++ b/src/hyssopway/dispatch/pool_mover.py
@@ -11,7 +11,7 @@
 
 from .demand_forecast import DemandForecast
 from .machine_calls import MachineCallError, MachineOrderResult
-from .order_budget import OrderBudget
+from .order_rate_limiter import OrderRateLimiter
 from .pool_load import measure_pools
 from .pool_plan import PoolDemand, plan_moves
 from .step_sizes import StepSizes
@@ -44,7 +44,7 @@
         machines: Machines as listed last.
         emptying: VMs that get no starts.
         move_s: Duration of a move.
-        budget: Rate of the orders.
+        rate_limiter: Rate of the orders.
         forecast: Demand by pool when a machine ordered now arrives.
         idle_since: Local time since which each VM has been idle; a machine that moves gets another VM.
         step_sizes: How wide the steps of each pool are.
@@ -54,7 +54,6 @@
 
     __slots__ = (
         "arrivals",
-        "budget",
         "calls",
         "emptying",
         "forecast",
@@ -62,6 +61,7 @@
         "leadership",
         "machines",
         "move_s",
+        "rate_limiter",
         "refused",
         "step_sizes",
     )
@@ -82,7 +82,7 @@
         self.machines = machines
         self.emptying = emptying
         self.move_s = move_s
-        self.budget = OrderBudget(accepted_per_s=orders_per_s, now=leadership.clock())
+        self.rate_limiter = OrderRateLimiter(accepted_per_s=orders_per_s, now=leadership.clock())
         self.forecast = DemandForecast(ahead_s=move_s + JOIN_S, scale=scale.read)
         self.idle_since: dict[str, float] = {}
         self.arrivals: dict[str, tuple[str, float]] = {}
@@ -120,7 +120,7 @@
             vm_millis=sorted(sizes)[len(sizes) // 2],
         )
         moves = [move for move in moves if (move.source, move.target) not in self.refused]
-        moves = moves[: self.budget.take(len(moves), now=now)]
+        moves = moves[: self.rate_limiter.acquire(len(moves), now=now)]
         if not moves:
             return
         machine_ids = tuple(move.machine_id for move in moves)
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -155,22 +155,22 @@
             return None
         return end_run(run, RunOutcome.NOT_STARTED)
 
-    def is_stop_asked(self, key: str) -> bool:
+    def is_stop_requested(self, key: str) -> bool:
         """Tells whether a stop of a run was sent."""
         order_state = self.order_states.get(key)
-        return order_state is not None and order_state.stop_asked_at > float("-inf")
+        return order_state is not None and order_state.stop_requested_at > float("-inf")
 
-    def ask_stop(self, *, task: str, run: int, reason: str) -> None:
+    def request_stop(self, *, task: str, run: int, reason: str) -> None:
         """Sends a stop unless one was sent a moment ago."""
         order_state = self.order_states.setdefault(f"{task}/{run}", OrderState())
         now = self.leadership.clock()
-        if now - order_state.stop_asked_at < STOP_AGAIN_S or not self.leadership.may_order():
+        if now - order_state.stop_requested_at < STOP_AGAIN_S or not self.leadership.may_order():
             return
-        order_state.stop_asked_at = now
+        order_state.stop_requested_at = now
         log_event(Event.STOP_ORDERED, run=f"{task}/{run}", vm=self.vm_id, reason=reason)
         self._send(self._stop(task=task, run=run, order_state=order_state))
 
-    def ask_pace(self, *, task: str, run: int, percent: int) -> None:
+    def request_pace(self, *, task: str, run: int, percent: int) -> None:
         """Sends a change of pace unless one is on its way."""
         key = f"{task}/{run}"
         if key in self.pacing or not self.leadership.may_order():
@@ -189,7 +189,7 @@
         self.paces.pop(key, None)
         return self.order_states.pop(key, None)
 
-    def note_listed(self, keys: Iterable[str], *, now: float) -> None:
+    def record_listed(self, keys: Iterable[str], *, now: float) -> None:
         """Takes in the runs that the VM listed."""
         for key in keys:
             order_state = self.order_states.setdefault(key, OrderState())
--- a/src/hyssopway/dispatch/unlisted_runs.py
+++ b/src/hyssopway/dispatch/unlisted_runs.py
@@ -61,7 +61,7 @@
             )
             match decision:
                 case Settlement.STOP:
-                    self.orders.ask_stop(task=run.task, run=run.run, reason="its start was not answered")
+                    self.orders.request_stop(task=run.task, run=run.run, reason="its start was not answered")
                 case Settlement.NEVER_RAN:
                     ends.append(end_run(run, RunOutcome.NOT_STARTED))
                 case Settlement.VANISHED:
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -211,7 +211,7 @@
             self.fenced_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
         self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
-        self.orders.note_listed(self.listed_runs, now=now)
+        self.orders.record_listed(self.listed_runs, now=now)
         self._stop_stalled(now)
         self.pace.follow(self.listed_runs, now=now)
         if reply.ends:
@@ -243,7 +243,7 @@
             key = f"{row.task}/{row.run}"
             log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
-            self.orders.ask_stop(task=row.task, run=row.run, reason="it stands still")
+            self.orders.request_stop(task=row.task, run=row.run, reason="it stands still")
 
     def _learn(self, end: RunEnd, *, accepted_at: float) -> None:
         real_s = self.leadership.clock() - accepted_at
@@ -265,7 +265,7 @@
         for key, row in self.listed_runs.items():
             if key not in record.runs:
                 # Its end was concluded while the VM was out of contact.
-                self.orders.ask_stop(task=row.task, run=row.run, reason="its end was concluded before")
+                self.orders.request_stop(task=row.task, run=row.run, reason="its end was concluded before")
 
     async def _end(self, ends: list[RunEnd], *, last_end: int = 0, boot: int | None = None) -> None:
         record = self.record
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -52,7 +52,7 @@
         percent = self.control.choose(serving=serving, filling=[steps[key].image for key in filling], now=now)
         for key in filling:
             if self._ordered_percent(key, row=rows[key]) != percent:
-                self.orders.ask_pace(task=rows[key].task, run=rows[key].run, percent=percent)
+                self.orders.request_pace(task=rows[key].task, run=rows[key].run, percent=percent)
 
     def _ordered_percent(self, key: str, *, row: ListedRun) -> int | None:
         """Returns the pace that a run has, or None when a former leader may have changed it."""
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -46,11 +46,11 @@
         self.leadership.member = FakeMember()
         self.announced = []
 
-    async def take_announcement(self, command):
+    async def handle_announcement(self, command):
         self.announced.append(command)
         await self.leadership.propose(command)
 
-    async def take_departure(self, *, vm):
+    async def handle_departure(self, *, vm):
         self.announced.append(vm)
 
 
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -29,9 +29,9 @@
     Reports that a partition held up arrive after the departure. The leader cannot know their age, so the VM is known
     again, but it gets no start before it answers under its identity, and it is forgotten when it stays silent.
     """
-    await controller.take_departure(vm="vm-1")
+    await controller.handle_departure(vm="vm-1")
     assert "vm-1" not in fleet.state.tables.vms
-    await controller.take_announcement(make_vm("vm-1"))
+    await controller.handle_announcement(make_vm("vm-1"))
     link = controller.links["vm-1"]
     await link.poll()
     assert controller.dispatcher.list_rooms() == {}
@@ -44,15 +44,15 @@
 
 async def test_late_report_of_an_earlier_boot_changes_nothing(controller, fleet):
     """Guards against an address and a pool of a life that has ended."""
-    await controller.take_announcement(make_vm("vm-1", boot=5))
-    await controller.take_announcement(make_vm("vm-1", boot=4, draining=True))
+    await controller.handle_announcement(make_vm("vm-1", boot=5))
+    await controller.handle_announcement(make_vm("vm-1", boot=4, draining=True))
     record = fleet.state.tables.vms["vm-1"]
     assert (record.boot, record.draining) == (5, False)
 
 
 async def test_late_report_does_not_end_a_drain(controller, fleet):
     """Guards against new work on a VM that said it leaves, because an older report overtook that word."""
-    await controller.take_announcement(make_vm("vm-1", draining=True))
-    await controller.take_announcement(make_vm("vm-1", draining=False))
+    await controller.handle_announcement(make_vm("vm-1", draining=True))
+    await controller.handle_announcement(make_vm("vm-1", draining=False))
     assert fleet.state.tables.vms["vm-1"].draining
     assert controller.dispatcher.list_rooms() == {}
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_holder_machine.py
@@ -114,7 +114,7 @@
     async def stop_runs(self, runs):
         for key, vm in sorted(runs.items()):
             task, _, run = key.rpartition("/")
-            self.links[vm].orders.ask_stop(task=task, run=int(run), reason="test")
+            self.links[vm].orders.request_stop(task=task, run=int(run), reason="test")
         for _ in range(4):
             await asyncio.sleep(0)
 
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -11,7 +11,7 @@
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.emptying import Emptying
 from hyssopway.dispatch.machine_list import MachineList
-from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
+from hyssopway.dispatch.order_rate_limiter import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_mover import PoolMover
 from hyssopway.dispatch.work_scale import WorkScale
--- a/tests/dispatch/test_vm_link.py
+++ b/tests/dispatch/test_vm_link.py
@@ -159,7 +159,7 @@
     await poll(link)
     await start(link)
     vms.lose = 2
-    link.orders.ask_stop(task="w.0.0.0", run=1, reason="cancelled")
+    link.orders.request_stop(task="w.0.0.0", run=1, reason="cancelled")
     await asyncio.gather(*link.orders.sending)
     assert vms.orders.count(("stop", "w.0.0.0", 1)) == 3
     assert link.orders.order_states["w.0.0.0/1"].stopped_at == link.leadership.now
