--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -20,7 +20,7 @@
 from .pool_mover import PoolMover
 from .retention import Retention
 from .rtt_estimator import RttEstimator
-from .vm_link import FORGET_S, VmLink
+from .vm_link import REMOVE_AFTER_S, VmLink
 from .waves import Waves
 from .work_scale import WorkScale
 
@@ -112,7 +112,7 @@
         machine_list = MachineList(
             leadership=leadership,
             calls=machines,
-            turn_s=limits.turn_s,
+            turn_s=limits.machine_lease_s,
             shortest_order_s=min(limits.move_s, limits.maintenance_s),
         )
         self.mover = PoolMover(
@@ -246,7 +246,7 @@
         now = self.leadership.clock()
         for vm_id, link in list(self.links.items()):
             record = link.record
-            if record is not None and now - link.heard_at > FORGET_S and now > link.lease.ends_at:
+            if record is not None and now - link.heard_at > REMOVE_AFTER_S and now > link.lease.expires_at:
                 log_event(Event.VM_GONE, vm=vm_id, reason=f"silent for {now - link.heard_at:.1f} s")
                 await self.leadership.propose(RemoveVm(vm=vm_id, boot=record.boot, at_ms=wall_ms()))
 
--- a/src/hyssopway/dispatch/leadership.py
+++ b/src/hyssopway/dispatch/leadership.py
@@ -15,7 +15,7 @@
 
 PROPOSE_TIMEOUT_S = 3.0
 # Below the shortest election timeout: an order that leaves in time is sent before any other leader is elected.
-CONFIRMED_WITHIN_S = 0.3
+LEADER_LEASE_S = 0.3
 CONFIRM_TIMEOUT_S = 0.5
 
 
@@ -50,7 +50,7 @@
 
     def may_order(self) -> bool:
         """Tells whether no other leader can have been elected yet."""
-        return self.holds and self.clock() - self.member.confirmed_at() <= CONFIRMED_WITHIN_S
+        return self.holds and self.clock() - self.member.confirmed_at() <= LEADER_LEASE_S
 
     async def confirm(self) -> None:
         """Makes sure that no other leader had been elected when this was called.
--- a/src/hyssopway/dispatch/lease.py
+++ b/src/hyssopway/dispatch/lease.py
@@ -17,20 +17,20 @@
 
     Attributes:
         length_s: Length of a lease.
-        ends_at: Local time after which no run of the VM is under a lease.
+        expires_at: Local time after which no run of the VM is under a lease.
         clock_ms: Last reading of the VM's clock; None before the first.
         read_at: Local time at which that reading arrived.
     """
 
-    __slots__ = ("clock_ms", "ends_at", "length_s", "read_at")
+    __slots__ = ("clock_ms", "expires_at", "length_s", "read_at")
 
-    def __init__(self, *, length_s: float, ends_at: float) -> None:
+    def __init__(self, *, length_s: float, expires_at: float) -> None:
         self.length_s = length_s
-        self.ends_at = ends_at
+        self.expires_at = expires_at
         self.clock_ms: int | None = None
         self.read_at = 0.0
 
-    def take_reading(self, *, clock_ms: int, now: float) -> None:
+    def record_clock(self, *, clock_ms: int, now: float) -> None:
         """Takes a reading of the VM's clock that arrived now."""
         self.clock_ms = clock_ms
         self.read_at = now
@@ -44,13 +44,13 @@
         if self.clock_ms is None:
             return None
         elapsed_s = (now - self.read_at) * (1 - CLOCK_DRIFT)
-        self.ends_at = max(self.ends_at, lease_end(granted_at=now, length_s=self.length_s))
+        self.expires_at = max(self.expires_at, lease_expiry(granted_at=now, length_s=self.length_s))
         return int(self.clock_ms + (elapsed_s + self.length_s) * 1000)
 
 
-def lease_end(*, granted_at: float, length_s: float) -> float:
+def lease_expiry(*, granted_at: float, length_s: float) -> float:
     """Returns the local time at which a lease has surely ended on the VM's clock."""
     return granted_at + length_s / (1 - CLOCK_DRIFT) + LEASE_SLACK_S
 
 
-__all__ = ["RUN_LEASE_S", "VmLease", "lease_end"]
+__all__ = ["RUN_LEASE_S", "VmLease", "lease_expiry"]
--- a/src/hyssopway/dispatch/platform_limits.py
+++ b/src/hyssopway/dispatch/platform_limits.py
@@ -12,7 +12,7 @@
     Attributes:
         longest_lease_s: Longest lease that VMs accept.
         stop_s: Longest time that a VM takes to stop a run.
-        turn_s: Shortest time between orders of two leaders for one machine.
+        machine_lease_s: Shortest time between orders of two leaders for one machine.
         maintenance_s: Duration of the maintenance of a machine.
         move_s: Duration of the move of a machine to another pool.
         machine_orders_per_s: Orders for machines that the platform accepts from all nodes together.
@@ -22,7 +22,7 @@
 
     longest_lease_s: float
     stop_s: float
-    turn_s: float
+    machine_lease_s: float
     maintenance_s: float
     move_s: float
     machine_orders_per_s: float
--- a/src/hyssopway/dispatch/poll_timing.py
+++ b/src/hyssopway/dispatch/poll_timing.py
@@ -12,7 +12,7 @@
 # A look answers after its wait at the latest; the rest is for the way and a busy VM.
 CALM_MARGIN_S = 0.35
 # How long looks stay short after one without an answer.
-UNSURE_S = 5.0
+UNSTABLE_S = 5.0
 UNSURE_WAIT_MS = 200
 # Margins by the number of looks lost in a row: a VM that is slow must get a look that lasts until its answer.
 UNSURE_MARGINS_S = (0.15, 0.25, 0.35)
@@ -54,21 +54,21 @@
         self.lost += 1
         self.lost_at = now
 
-    def choose(self, *, now: float, is_fenced: bool) -> PollTimes:
+    def choose(self, *, now: float, has_acked_term: bool) -> PollTimes:
         """Chooses the times of the next look.
 
         Args:
             now: Local time.
-            is_fenced: Whether the VM is known to follow this leader; otherwise its list is wanted at once.
+            has_acked_term: Whether the VM is known to follow this leader; otherwise its list is wanted at once.
         """
-        if now - self.lost_at >= UNSURE_S:
+        if now - self.lost_at >= UNSTABLE_S:
             wait_ms, margin_s = CALM_WAIT_MS, CALM_MARGIN_S
         else:
             wait_ms = UNSURE_WAIT_MS
             margin_s = UNSURE_MARGINS_S[min(self.lost, len(UNSURE_MARGINS_S) - 1)]
-        if not is_fenced:
+        if not has_acked_term:
             wait_ms = 0
         return PollTimes(wait_ms=wait_ms, timeout_s=wait_ms / 1000 + margin_s)
 
 
-__all__ = ["UNSURE_S", "PollTimes", "PollTiming"]
+__all__ = ["UNSTABLE_S", "PollTimes", "PollTiming"]
--- a/src/hyssopway/dispatch/run_ends.py
+++ b/src/hyssopway/dispatch/run_ends.py
@@ -10,12 +10,12 @@
     from hyssopway.workflow import ActiveRun, RunOutcome, VmRecord
 
 
-def end_run(run: ActiveRun, outcome: RunOutcome) -> RunEnd:
+def make_run_end(run: ActiveRun, outcome: RunOutcome) -> RunEnd:
     """Returns the end of one run."""
     return RunEnd(task=run.task, run=run.run, outcome=outcome)
 
 
-def end_all_runs(record: VmRecord, outcome: RunOutcome) -> list[RunEnd]:
+def make_run_ends(record: VmRecord, outcome: RunOutcome) -> list[RunEnd]:
     """Returns the ends of all runs that are agreed to be on a VM."""
     ends = []
     for key in sorted(record.runs):
@@ -24,4 +24,4 @@
     return ends
 
 
-__all__ = ["end_all_runs", "end_run"]
+__all__ = ["make_run_end", "make_run_ends"]
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -10,7 +10,7 @@
 
 from .order_reply import Refusal
 from .order_state import OrderState
-from .run_ends import end_run
+from .run_ends import make_run_end
 from .worker_calls import WorkerUnreachableError
 
 if TYPE_CHECKING:
@@ -136,7 +136,7 @@
                 return self._take_start_reply(run, order_state=order_state, reply=reply, is_repeated=is_sent)
         finally:
             order_state.is_sending = False
-        return None if is_sent else end_run(run, RunOutcome.NOT_STARTED)
+        return None if is_sent else make_run_end(run, RunOutcome.NOT_STARTED)
 
     def _take_start_reply(
         self, run: ActiveRun, *, order_state: OrderState, reply: OrderReply, is_repeated: bool
@@ -153,7 +153,7 @@
         # An earlier copy of a repeated order may still be carried out.
         if is_repeated or reply.refusal is Refusal.OTHER_BOOT:
             return None
-        return end_run(run, RunOutcome.NOT_STARTED)
+        return make_run_end(run, RunOutcome.NOT_STARTED)
 
     def is_stop_requested(self, key: str) -> bool:
         """Tells whether a stop of a run was sent."""
--- a/src/hyssopway/dispatch/stall_watch.py
+++ b/src/hyssopway/dispatch/stall_detector.py
@@ -23,7 +23,7 @@
 STALL_SHARE = 0.15
 
 
-class StallWatch:
+class StallDetector:
     """Progress of the runs of one VM.
 
     Attributes:
@@ -35,7 +35,7 @@
     def __init__(self) -> None:
         self.seen: dict[str, tuple[int, float]] = {}
 
-    def take(self, shares: Iterable[tuple[str, int]], *, now: float) -> None:
+    def update(self, shares: Iterable[tuple[str, int]], *, now: float) -> None:
         """Takes in a listing of run keys and percent done."""
         fresh: dict[str, tuple[int, float]] = {}
         for key, percent in shares:
@@ -54,7 +54,7 @@
             step = workflow.spec.steps[task.step] if workflow is not None else None
             if step is not None and not step.long_running and not step.fills and not step.gang:
                 watched.append((row, step.estimate_ms))
-        self.take(((f"{row.task}/{row.run}", row.percent) for row, _ in watched), now=now)
+        self.update(((f"{row.task}/{row.run}", row.percent) for row, _ in watched), now=now)
         return [
             row
             for row, declared_ms in watched
@@ -69,4 +69,4 @@
         return now - known[1] >= max(MIN_STALL_S, declared_ms / 1000 * STALL_SHARE)
 
 
-__all__ = ["StallWatch"]
+__all__ = ["StallDetector"]
--- a/src/hyssopway/dispatch/unlisted_runs.py
+++ b/src/hyssopway/dispatch/unlisted_runs.py
@@ -7,8 +7,8 @@
 from hyssopway.workflow import RunOutcome
 
 from .order_state import OrderState
-from .run_ends import end_run
-from .settling import Settlement, settle_unlisted
+from .resolution import Resolution, resolve_unlisted
+from .run_ends import make_run_end
 
 if TYPE_CHECKING:
     from hyssopway.workflow import ActiveRun, RunEnd, VmRecord
@@ -33,8 +33,8 @@
         self.orders = orders
         self.stop_s = stop_s
 
-    def conclude(
-        self, record: VmRecord, *, listed: set[str], sent_at: float, fenced_at: float
+    def resolve(
+        self, record: VmRecord, *, listed: set[str], sent_at: float, term_acked_at: float
     ) -> list[RunEnd]:
         """Returns the ends that are certain; asks for a stop of runs whose start was not answered.
 
@@ -42,7 +42,7 @@
             record: The VM as agreed.
             listed: Keys of the runs and ends that it listed.
             sent_at: Local time at which the listing was asked for.
-            fenced_at: Local time at which the VM first answered the token of this term.
+            term_acked_at: Local time at which the VM first answered the token of this term.
         """
         ends: list[RunEnd] = []
         for key in sorted(record.runs - listed):
@@ -51,22 +51,22 @@
                 continue
             order_state = self.orders.order_states.setdefault(key, OrderState())
             order_state.unlisted_since = min(order_state.unlisted_since, sent_at)
-            decision = settle_unlisted(
+            decision = resolve_unlisted(
                 order_state=order_state,
                 run_token=run.fencing_token,
                 own_token=self.leadership.term,
-                fenced_at=fenced_at,
+                term_acked_at=term_acked_at,
                 listing_sent_at=sent_at,
                 stop_s=self.stop_s,
             )
             match decision:
-                case Settlement.STOP:
+                case Resolution.STOP:
                     self.orders.request_stop(task=run.task, run=run.run, reason="its start was not answered")
-                case Settlement.NEVER_RAN:
-                    ends.append(end_run(run, RunOutcome.NOT_STARTED))
-                case Settlement.VANISHED:
-                    ends.append(end_run(run, RunOutcome.LOST))
-                case Settlement.WAIT:
+                case Resolution.NOT_STARTED:
+                    ends.append(make_run_end(run, RunOutcome.NOT_STARTED))
+                case Resolution.LOST:
+                    ends.append(make_run_end(run, RunOutcome.LOST))
+                case Resolution.WAIT:
                     pass
         return ends
 
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -9,11 +9,11 @@
 from hyssopway.event import Event, log_event
 from hyssopway.workflow import EndRuns, RegisterVm, RunEnd, RunOutcome, TaskId
 
-from .lease import RUN_LEASE_S, VmLease, lease_end
+from .lease import RUN_LEASE_S, VmLease, lease_expiry
 from .poll_timing import PollTiming
-from .run_ends import end_all_runs
+from .run_ends import make_run_ends
 from .run_orders import RunOrders
-from .stall_watch import StallWatch
+from .stall_detector import StallDetector
 from .unlisted_runs import UnlistedRuns
 from .vm_pace import VmPace
 from .worker_calls import OtherBootError, WorkerUnreachableError
@@ -41,7 +41,7 @@
 # A VM whose last answer is older gets no new starts; longer than a look that gets no answer.
 CONTACT_S = 1.3
 # A VM that neither answers nor announces itself for this long is forgotten.
-FORGET_S = 20.0
+REMOVE_AFTER_S = 20.0
 
 
 class VmLink:
@@ -59,12 +59,12 @@
         lease: Bound on the lease of its runs.
         orders: Orders of this term to it.
         pace: Pace of its tasks that fill.
-        is_fenced: Whether the VM answers, with the fencing token of this term.
-        fenced_at: Local time at which it first answered that token after a silence.
+        has_acked_term: Whether the VM answers, with the fencing token of this term.
+        term_acked_at: Local time at which it first answered that token after a silence.
         unlisted: Runs that it does not list.
         answered_at: Local time of its last answer.
         heard_at: Local time of its last answer or announcement.
-        stalls: Progress of its runs.
+        stall_detector: Progress of its runs.
         listed_runs: Runs that it listed last, by key.
         failures: Runs that failed there in a row.
     """
@@ -74,9 +74,8 @@
         "boot",
         "calls",
         "failures",
-        "fenced_at",
+        "has_acked_term",
         "heard_at",
-        "is_fenced",
         "leadership",
         "lease",
         "listed_runs",
@@ -86,7 +85,8 @@
         "poll_limiter",
         "polls",
         "scale",
-        "stalls",
+        "stall_detector",
+        "term_acked_at",
         "unlisted",
         "vm_id",
     )
@@ -112,11 +112,11 @@
         self.on_change = on_change
         self.scale = scale
         self.poll_limiter = poll_limiter
-        self.stalls = StallWatch()
+        self.stall_detector = StallDetector()
         self.polls = PollTiming()
         length_s = min(RUN_LEASE_S, limits.longest_lease_s)
-        granted_by_others = lease_end(granted_at=leadership.started_at, length_s=length_s)
-        self.lease = VmLease(length_s=length_s, ends_at=granted_by_others)
+        granted_by_others = lease_expiry(granted_at=leadership.started_at, length_s=length_s)
+        self.lease = VmLease(length_s=length_s, expires_at=granted_by_others)
         self.orders = RunOrders(
             vm_id=vm_id,
             leadership=leadership,
@@ -131,8 +131,8 @@
         self.unlisted = UnlistedRuns(
             leadership=leadership, orders=self.orders, stop_s=limits.stop_s + STOP_SLACK_S
         )
-        self.is_fenced = False
-        self.fenced_at = float("inf")
+        self.has_acked_term = False
+        self.term_acked_at = float("inf")
         self.answered_at = float("-inf")
         self.heard_at = leadership.clock()
         self.listed_runs: dict[str, ListedRun] = {}
@@ -145,7 +145,7 @@
 
     def in_contact(self, now: float) -> bool:
         """Tells whether orders to the VM are likely to arrive."""
-        return self.is_fenced and now - self.answered_at <= CONTACT_S
+        return self.has_acked_term and now - self.answered_at <= CONTACT_S
 
     async def run(self) -> None:
         """Looks at the VM and renews its lease for as long as it is known."""
@@ -189,13 +189,13 @@
             self._forget_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
-        poll_times = self.polls.choose(now=sent_at, is_fenced=self.is_fenced)
+        poll_times = self.polls.choose(now=sent_at, has_acked_term=self.has_acked_term)
         reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
             last_end=record.last_end,
             # A VM that is silent gets no new lease: an unanswered look may have extended it.
-            lease_until_ms=self.lease.renew(now=sent_at) if self.is_fenced else None,
+            lease_until_ms=self.lease.renew(now=sent_at) if self.has_acked_term else None,
             wait_ms=poll_times.wait_ms,
             timeout_s=poll_times.timeout_s,
         )
@@ -204,11 +204,11 @@
             await self._take_new_boot(record, boot=reply.boot)
             return
         now = self.leadership.clock()
-        self.lease.take_reading(clock_ms=reply.clock_ms, now=now)
+        self.lease.record_clock(clock_ms=reply.clock_ms, now=now)
         self.answered_at = self.heard_at = now
-        if not self.is_fenced:
-            self.is_fenced = True
-            self.fenced_at = now
+        if not self.has_acked_term:
+            self.has_acked_term = True
+            self.term_acked_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
         self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
         self.orders.record_listed(self.listed_runs, now=now)
@@ -239,7 +239,7 @@
 
     def _stop_stalled(self, now: float) -> None:
         workflows = self.leadership.state.tables.workflows
-        for row in self.stalls.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
+        for row in self.stall_detector.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
             key = f"{row.task}/{row.run}"
             log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
@@ -259,7 +259,9 @@
         if not reply.is_complete:
             return
         listed = set(self.listed_runs) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
-        settled = self.unlisted.conclude(record, listed=listed, sent_at=sent_at, fenced_at=self.fenced_at)
+        settled = self.unlisted.resolve(
+            record, listed=listed, sent_at=sent_at, term_acked_at=self.term_acked_at
+        )
         if settled:
             await self._end(settled)
         for key, row in self.listed_runs.items():
@@ -283,18 +285,18 @@
             self.orders.forget_run(f"{end.task}/{end.run}")
 
     async def _conclude_lapsed(self, record: VmRecord) -> None:
-        if not record.runs or self.leadership.clock() <= self.lease.ends_at:
+        if not record.runs or self.leadership.clock() <= self.lease.expires_at:
             return
         log_event(Event.LEASE_ENDED, vm=self.vm_id, runs=len(record.runs))
         self.listed_runs = {}
-        await self._end(end_all_runs(record, RunOutcome.LAPSED))
+        await self._end(make_run_ends(record, RunOutcome.LAPSED))
         self.on_change()
 
     async def _give_up_boot(self, record: VmRecord, *, reason: str) -> None:
         log_event(Event.VM_GONE, vm=self.vm_id, reason=reason)
         self._forget_boot()
         if record.runs:
-            await self._end(end_all_runs(record, RunOutcome.LOST))
+            await self._end(make_run_ends(record, RunOutcome.LOST))
             self.on_change()
 
     async def _take_new_boot(self, record: VmRecord, *, boot: int) -> None:
@@ -316,16 +318,16 @@
         self.on_change()
 
     def _forget_boot(self) -> None:
-        self.is_fenced = False
+        self.has_acked_term = False
         self.listed_runs = {}
         self.orders.forget_boot()
         self.lease.forget_clock()
 
     def _note_silence(self, record: VmRecord, *, reason: str) -> None:
-        if self.leadership.clock() - self.answered_at > CONTACT_S and self.is_fenced:
+        if self.leadership.clock() - self.answered_at > CONTACT_S and self.has_acked_term:
             log_event(Event.VM_SILENT, vm=self.vm_id, address=record.address, reason=reason)
-            self.is_fenced = False
+            self.has_acked_term = False
             self.on_change()
 
 
-__all__ = ["FORGET_S", "VmLink"]
+__all__ = ["REMOVE_AFTER_S", "VmLink"]
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -50,7 +50,7 @@
             vm_id: {
                 "in_contact": link.in_contact(now),
                 "answer_age_s": now - link.answered_at,
-                "lease_left_s": link.lease.ends_at - now,
+                "lease_left_s": link.lease.expires_at - now,
                 "listed": sorted(link.listed_runs),
                 "orders": sorted(link.orders.order_states),
                 "pause_left_s": max(0.0, link.orders.paused_until - now),
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -243,7 +243,7 @@
     limits = PlatformLimits(
         longest_lease_s=10.0,
         stop_s=0.4,
-        turn_s=3.0,
+        machine_lease_s=3.0,
         maintenance_s=2.0,
         move_s=1.5,
         machine_orders_per_s=64.0,
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -17,7 +17,7 @@
 LIMITS = PlatformLimits(
     longest_lease_s=10.0,
     stop_s=0.4,
-    turn_s=3.0,
+    machine_lease_s=3.0,
     maintenance_s=2.0,
     move_s=1.5,
     machine_orders_per_s=16.0,
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -8,7 +8,7 @@
 
 from dispatch.conftest import LIMITS
 from hyssopway.dispatch import LeaderController
-from hyssopway.dispatch.vm_link import FORGET_S
+from hyssopway.dispatch.vm_link import REMOVE_AFTER_S
 from workflow.conftest import make_vm
 
 
@@ -37,7 +37,7 @@
     assert controller.dispatcher.list_rooms() == {}
     await controller.dispatcher.start_waiting()
     assert vms.orders == []
-    fleet.now += FORGET_S + 1.0
+    fleet.now += REMOVE_AFTER_S + 1.0
     await controller._forget_silent()
     assert "vm-1" not in fleet.state.tables.vms
 
--- a/tests/dispatch/test_lease.py
+++ b/tests/dispatch/test_lease.py
@@ -4,33 +4,33 @@
 
 import pytest
 
-from hyssopway.dispatch.lease import CLOCK_DRIFT, VmLease, lease_end
+from hyssopway.dispatch.lease import CLOCK_DRIFT, VmLease, lease_expiry
 
 
 @pytest.fixture
 def lease():
-    return VmLease(length_s=4.0, ends_at=10.0)
+    return VmLease(length_s=4.0, expires_at=10.0)
 
 
 def test_no_lease_without_a_reading_of_the_clock(lease):
     """Guards against a lease on a clock that was guessed."""
     assert lease.renew(now=5.0) is None
-    assert lease.ends_at == 10.0
+    assert lease.expires_at == 10.0
 
 
 @pytest.mark.parametrize("rate", [1 - CLOCK_DRIFT, 1.0])
 def test_lease_has_ended_on_the_clock_of_the_vm(lease, rate):
     """Guards against a second run while the first one still has a lease."""
     read_at, read_ms = 100.0, 50_000
-    lease.take_reading(clock_ms=read_ms, now=read_at)
+    lease.record_clock(clock_ms=read_ms, now=read_at)
     until_ms = lease.renew(now=103.0)
-    clock_at_end_ms = read_ms + (lease.ends_at - read_at) * rate * 1000
+    clock_at_end_ms = read_ms + (lease.expires_at - read_at) * rate * 1000
     assert clock_at_end_ms >= until_ms
 
 
 def test_earlier_grant_is_not_shortened(lease):
     """Guards against a lease of a former leader that is forgotten."""
-    lease.take_reading(clock_ms=0, now=0.0)
+    lease.record_clock(clock_ms=0, now=0.0)
     lease.renew(now=0.0)
-    assert lease.ends_at == 10.0
-    assert lease_end(granted_at=7.0, length_s=4.0) > 11.0
+    assert lease.expires_at == 10.0
+    assert lease_expiry(granted_at=7.0, length_s=4.0) > 11.0
--- a/tests/dispatch/test_machine_list.py
+++ b/tests/dispatch/test_machine_list.py
@@ -29,7 +29,10 @@
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineList(
-        leadership=leadership, calls=FakeMachines(), turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+        leadership=leadership,
+        calls=FakeMachines(),
+        turn_s=LIMITS.machine_lease_s,
+        shortest_order_s=LIMITS.move_s,
     )
     await built.refresh(max_age_s=1.0)
     return built
@@ -38,7 +41,7 @@
 def test_machine_that_a_former_leader_ordered_is_left_alone(machines, leadership):
     """Guards against two leaders that order one machine within a turn: its last order was a move ago at least."""
     assert [machines.is_available(name) for name in ("m1", "m2")] == [False, True]
-    leadership.now += LIMITS.turn_s - LIMITS.move_s - 0.1
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s - 0.1
     assert not machines.is_available("m1")
     leadership.now += 0.2
     assert machines.is_available("m1")
@@ -50,10 +53,10 @@
     calls = FakeMachines()
     calls.states["m1"] = MachineState.MOVING
     built = MachineList(
-        leadership=leadership, calls=calls, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+        leadership=leadership, calls=calls, turn_s=LIMITS.machine_lease_s, shortest_order_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=0.0)
-    leadership.now += LIMITS.turn_s - 0.1
+    leadership.now += LIMITS.machine_lease_s - 0.1
     assert not built.may_order("m1")
     leadership.now += 0.2
     assert built.may_order("m1")
@@ -64,13 +67,13 @@
     machines.calls.states["m1"] = MachineState.MOVING
     leadership.now += 1.1
     await machines.refresh(max_age_s=1.0)
-    leadership.now += LIMITS.turn_s - LIMITS.move_s
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s
     assert not machines.may_order("m1")
 
 
 async def test_turn_is_not_counted_anew_with_each_list(machines, leadership):
     """Guards against a machine that no leader may order for as long as it is listed."""
-    leadership.now += LIMITS.turn_s - LIMITS.move_s + 0.1
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s + 0.1
     await machines.refresh(max_age_s=0.0)
     assert machines.is_available("m1")
 
--- a/tests/dispatch/test_maintenance.py
+++ b/tests/dispatch/test_maintenance.py
@@ -48,7 +48,7 @@
     links = {"vm-1": link}
     emptying = Emptying(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineList(
-        leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+        leadership=fleet, calls=platform, turn_s=LIMITS.machine_lease_s, shortest_order_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     await fleet.propose(StartWave(number=1, machines=("m1",), deadline_ms=wall_ms() + 60_000, max_down=1))
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -69,7 +69,7 @@
         await links[name].poll()
     emptying = Emptying(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineList(
-        leadership=fleet, calls=platform, turn_s=LIMITS.turn_s, shortest_order_s=LIMITS.move_s
+        leadership=fleet, calls=platform, turn_s=LIMITS.machine_lease_s, shortest_order_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     return PoolMover(
--- /dev/null
+++ b/tests/dispatch/test_stall_detector.py
@@ -0,0 +1,30 @@
+"""Runs that stand still."""
+
+from __future__ import annotations
+
+from hyssopway.dispatch.stall_detector import MIN_STALL_S, StallDetector
+
+
+def test_run_without_progress_is_found():
+    """Replays a VM whose tasks hang: looks go on, the share done does not."""
+    detector = StallDetector()
+    detector.update([("stuck", 0), ("works", 10)], now=0.0)
+    detector.update([("stuck", 0), ("works", 60)], now=MIN_STALL_S)
+    assert detector.is_stalled("stuck", declared_ms=500, now=MIN_STALL_S)
+    assert not detector.is_stalled("works", declared_ms=500, now=MIN_STALL_S)
+
+
+def test_long_task_gets_time_for_a_percent():
+    """Guards against stopping a task whose progress is slower than the looks."""
+    detector = StallDetector()
+    detector.update([("long", 3)], now=0.0)
+    assert not detector.is_stalled("long", declared_ms=60_000, now=5.0)
+    assert detector.is_stalled("long", declared_ms=60_000, now=10.0)
+
+
+def test_run_that_is_not_listed_any_more_is_forgotten():
+    """Guards against memory that grows with every run."""
+    detector = StallDetector()
+    detector.update([("a", 1)], now=0.0)
+    detector.update([], now=1.0)
+    assert detector.seen == {}
--- a/tests/dispatch/test_vm_link.py
+++ b/tests/dispatch/test_vm_link.py
@@ -8,9 +8,9 @@
 
 from dispatch.conftest import make_link
 from hyssopway.dispatch import OrderReply, Refusal, WorkerUnreachableError
-from hyssopway.dispatch.lease import RUN_LEASE_S, lease_end
+from hyssopway.dispatch.lease import RUN_LEASE_S, lease_expiry
 from hyssopway.dispatch.listed_end import ListedEnd
-from hyssopway.dispatch.poll_timing import UNSURE_S
+from hyssopway.dispatch.poll_timing import UNSTABLE_S
 from hyssopway.workflow import RunEnd, RunOutcome, RunStart, StartRuns
 
 
@@ -136,7 +136,7 @@
     monkeypatch.setattr(vms, "start", lose)
     await start(link)
     assert link.leadership.now > first_at
-    assert link.lease.ends_at == lease_end(granted_at=first_at, length_s=link.lease.length_s)
+    assert link.lease.expires_at == lease_expiry(granted_at=first_at, length_s=link.lease.length_s)
 
 
 async def test_start_is_not_repeated_once_the_vm_lists_the_run(link, vms, monkeypatch):
@@ -172,7 +172,7 @@
     vms.lose = 1
     await poll(link, times=3)
     assert vms.timeouts[-1] <= calm_s / 2
-    await poll(link, times=2, step_s=UNSURE_S)
+    await poll(link, times=2, step_s=UNSTABLE_S)
     assert vms.timeouts[-1] == calm_s
 
 
