--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -92,7 +92,7 @@
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
-                link.orders.ask_stop(
+                link.orders.request_stop(
                     task=task, run=int(run), reason="its task does not need the run any more"
                 )
 
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from hyssopway.dispatch import HoldReply, OrderReply, PlatformLimits, RunningRow, WorkerUnreachableError
-from hyssopway.dispatch.answer_times import AnswerTimes
+from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply, WorkerUnreachableError
 from hyssopway.dispatch.duration_scale import DurationScale
-from hyssopway.dispatch.look_pacer import LookPacer
 from hyssopway.dispatch.pace_history import PaceHistory
+from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
+from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
 from hyssopway.workflow import PutDocument, WorkflowState, encode_command
@@ -17,7 +17,7 @@
 LIMITS = PlatformLimits(
     longest_lease_s=10.0,
     stop_s=0.4,
-    turn_s=3.0,
+    machine_lease_s=3.0,
     maintenance_s=2.0,
     move_s=1.5,
     machine_orders_per_s=16.0,
@@ -72,20 +72,18 @@
         if self.silent or self.lose >= 0:
             raise WorkerUnreachableError("silent")
 
-    async def hold(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
+    async def poll(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
         self.leases.append(lease_until_ms)
         self._answer(timeout_s)
         rows = tuple(
-            RunningRow(task, run, "", 100, 0)
-            for (task, run), name in self.running.items()
-            if name == vm.vm_id
+            ListedRun(task, run, "", 100, 0) for (task, run), name in self.running.items() if name == vm.vm_id
         )
-        return HoldReply(
+        return PollReply(
             clock_ms=round(self.leadership.now * 1000),
             boot=self.boot,
             running=rows,
             ends=tuple(end for end in self.ends if end.number > last_end),
-            is_whole=True,
+            is_complete=True,
         )
 
     async def start(self, *, vm, task, run, timeout_s, **_):
@@ -107,8 +105,8 @@
         calls=calls,
         limits=LIMITS,
         scale=DurationScale(),
-        pacer=LookPacer(),
-        times=AnswerTimes(),
+        poll_limiter=PollRateLimiter(),
+        rtt_estimator=RttEstimator(),
         pace_memory=PaceHistory(),
         tickets=TicketCache(clock=leadership.clock),
         on_change=lambda: None,
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dispatch.conftest import make_link
-from hyssopway.dispatch import OrderReply, RunningRow
+from hyssopway.dispatch import ListedRun, OrderReply
 from hyssopway.dispatch.pace_control import OWN_LOAD_S, PaceControl, ServingReading
 from hyssopway.dispatch.pace_history import FIRST_PERCENT, PaceHistory
 from hyssopway.workflow import StartRuns, Step
@@ -130,8 +130,8 @@
         self.vms = vms
         self.paces = {}
 
-    async def hold(self, **arguments):
-        return await self.vms.hold(**arguments)
+    async def poll(self, **arguments):
+        return await self.vms.poll(**arguments)
 
     async def pace(self, *, vm, task, run, percent, fencing_token, timeout_s):
         self.vms._answer(timeout_s)
@@ -152,9 +152,9 @@
 
 def rows(tail_ms):
     listed = [
-        RunningRow("mixed.0.0.0", 1, "", 100, tail_ms),
-        RunningRow("mixed.0.1.0", 1, "", 10, 500),
-        RunningRow("mixed.0.1.1", 1, "", 10, 500),
+        ListedRun("mixed.0.0.0", 1, "", 100, tail_ms),
+        ListedRun("mixed.0.1.0", 1, "", 10, 500),
+        ListedRun("mixed.0.1.1", 1, "", 10, 500),
     ]
     return {f"{row.task}/{row.run}": row for row in listed}
 
--- a/tests/dispatch/test_pool_rebalancer.py
+++ b/tests/dispatch/test_pool_rebalancer.py
@@ -11,7 +11,7 @@
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.duration_scale import DurationScale
 from hyssopway.dispatch.machine_inventory import MachineInventory
-from hyssopway.dispatch.order_budget import KEEP_S, RATE_SHARE
+from hyssopway.dispatch.order_rate_limiter import KEEP_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_rebalancer import PoolRebalancer
 from hyssopway.dispatch.vm_drainer import VmDrainer
@@ -66,10 +66,10 @@
     links = {}
     for name in VMS:
         links[name] = make_link(name, leadership=fleet, calls=vms)
-        await links[name].look()
+        await links[name].poll()
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
     machines = MachineInventory(
-        leadership=fleet, calls=platform, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=fleet, calls=platform, machine_lease_s=LIMITS.machine_lease_s, min_down_s=LIMITS.move_s
     )
     await machines.refresh(max_age_s=1.0)
     return PoolRebalancer(
