--- a/src/hyssopway/agreement/crash_points.py
+++ b/src/hyssopway/agreement/crash_points.py
@@ -1,7 +1,7 @@
-"""Named points at which a process kills itself, for tests of crashes.
+"""Named crash points for fault injection in tests.
 
-`HYSSOPWAY_CRASH_POINT=name:count` ends the process with SIGKILL when it reaches the point for the count-th time.
-Without the variable a point does nothing.
+With `HYSSOPWAY_CRASH_POINT=name:count` in the environment the process sends itself SIGKILL when it reaches the point
+for the count-th time. Without the variable, crash points have no effect.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import signal
 import threading
 
-VARIABLE = "HYSSOPWAY_CRASH_POINT"
+CRASH_POINT_VARIABLE = "HYSSOPWAY_CRASH_POINT"
 
 CRASH_POINTS = (
     "received",
@@ -25,34 +25,36 @@
 
 
 class _Countdown:
-    """Arrivals left at the point that is enabled."""
+    """Number of times the enabled crash point may still be reached."""
 
-    __slots__ = ("left", "lock", "name")
+    __slots__ = ("lock", "name", "remaining")
 
     def __init__(self, *, setting: str) -> None:
         name, _, count = setting.partition(":")
         if name and (name not in CRASH_POINTS or not count.isdigit()):
-            raise ValueError(f"{VARIABLE}={setting!r} is not one of {', '.join(CRASH_POINTS)} with a count")
+            raise ValueError(
+                f"{CRASH_POINT_VARIABLE}={setting!r} is not name:count with one of {', '.join(CRASH_POINTS)}"
+            )
         self.name = name
-        self.left = int(count or 0)
-        # Points are reached on the event loop and in threads that write.
+        self.remaining = int(count or 0)
+        # Crash points are reached on the event loop and in writer threads.
         self.lock = threading.Lock()
 
-    def reach(self) -> None:
-        """Counts one arrival and ends the process at the last."""
+    def count_down(self) -> None:
+        """Decrements the counter and kills the process when it reaches zero."""
         with self.lock:
-            self.left -= 1
-            if self.left <= 0:
+            self.remaining -= 1
+            if self.remaining <= 0:
                 os.kill(os.getpid(), signal.SIGKILL)
 
 
-_COUNTDOWN = _Countdown(setting=os.environ.get(VARIABLE, ""))
+_COUNTDOWN = _Countdown(setting=os.environ.get(CRASH_POINT_VARIABLE, ""))
 
 
 def crash_point(name: str) -> None:
-    """Ends the process here if the point is enabled and its count is reached."""
+    """Kills the process if this crash point is enabled and its count is reached."""
     if name == _COUNTDOWN.name:
-        _COUNTDOWN.reach()
+        _COUNTDOWN.count_down()
 
 
-__all__ = ["CRASH_POINTS", "VARIABLE", "crash_point"]
+__all__ = ["CRASH_POINTS", "CRASH_POINT_VARIABLE", "crash_point"]
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -10,7 +10,7 @@
 from pydantic_core import from_json, to_json
 
 from hyssopway.agreement import (
-    SnapshotParts,
+    SnapshotAssembler,
     answer_append,
     answer_snapshot,
     answer_vote,
@@ -95,12 +95,12 @@
         self.withheld: dict[str, list[EndRun]] = {}
         self.router = router
         self.exchanges: dict[str, Callable[[Any], Any]] = {}
-        self.parts = SnapshotParts()
+        self.parts = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if self.member is not None and daemon == self.member.leader_daemon:
-            self.member.doubt.begin()
+            self.member.leader_suspicion.start()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
         """Answers a vote request."""
@@ -112,7 +112,9 @@
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
         """Takes a part of a snapshot."""
-        return await run_to_completion(answer_snapshot(member=self._member(), parts=self.parts, chunk=chunk))
+        return await run_to_completion(
+            answer_snapshot(member=self._member(), assembler=self.parts, chunk=chunk)
+        )
 
     async def propose(self, command: bytes) -> ProposeReply:
         """Proposes a command if this daemon leads."""
@@ -132,7 +134,7 @@
         self.contacts[daemon] = self.freshness.clock()
         if daemon in self.withheld:
             return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=inf)
-        age_s = member.clock() - member.confirmed_at()
+        age_s = member.clock() - member.quorum_acked_at()
         if isfinite(age_s):
             self.covered[daemon] = member.commit_index
         return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=age_s)
--- a/src/hyssopway/job/__init__.py
+++ b/src/hyssopway/job/__init__.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from .lost_homes import LostHomes
+from .home_monitor import HomeMonitor
+from .pending_reason import explain_pending
+from .run_revoker import RunRevoker
 from .scheduler import JobScheduler
-from .unordered_runs import UnorderedRuns
-from .usage_book import TaskUsage, UsageBook
-from .waiting import explain_waiting
+from .usage_reports import TaskUsage, UsageReports
 
-__all__ = ["JobScheduler", "LostHomes", "TaskUsage", "UnorderedRuns", "UsageBook", "explain_waiting"]
+__all__ = ["HomeMonitor", "JobScheduler", "RunRevoker", "TaskUsage", "UsageReports", "explain_pending"]
--- a/src/hyssopway/job/lost_homes.py
+++ b/src/hyssopway/job/home_monitor.py
@@ -37,7 +37,7 @@
 WATCHED = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
 
 
-class LostHomes:
+class HomeMonitor:
     """Watches the contacts of homes while this daemon leads.
 
     Attributes:
@@ -116,7 +116,7 @@
             return 0.0
         return self.clock() - max(self.contacts.get(home, self.counts_from), self.counts_from)
 
-    def find_silent(self) -> frozenset[str]:
+    def find_silent_homes(self) -> frozenset[str]:
         """Returns the homes that get no new work because they are out of contact."""
         return frozenset(home for home in self.homes if self.silent_s(home) > SILENT_S)
 
@@ -177,4 +177,4 @@
     )
 
 
-__all__ = ["MARGIN_S", "LostHomes"]
+__all__ = ["MARGIN_S", "HomeMonitor"]
--- a/tests/job/test_unordered_runs.py
+++ b/tests/job/test_run_revoker.py
@@ -10,8 +10,8 @@
 
 from hyssopway.control import wrap_command
 from hyssopway.control.record import JobStatus
-from hyssopway.job import LostHomes, UnorderedRuns
-from hyssopway.job.lost_homes import SILENT_S
+from hyssopway.job import HomeMonitor, RunRevoker
+from hyssopway.job.home_monitor import SILENT_S
 from hyssopway.result import Failure, ResultCode
 from states import LocalSubmitter, ManualClock, make_submitter
 
@@ -25,7 +25,7 @@
 
     is_leader: bool = True
     term: int = 1
-    term_start: int = 0
+    term_start_index: int = 0
 
 
 @dataclass
@@ -57,7 +57,7 @@
         self.submitter.accept("job")
         self.submitter.start("job", "vm")
         self.proposer = FakeProposer(self.submitter)
-        self.homes = LostHomes(
+        self.homes = HomeMonitor(
             own_name="h1",
             replica=self.submitter.replica,
             submitter=self.submitter,  # type: ignore[arg-type]
@@ -65,14 +65,14 @@
             leads=lambda: self.member.is_leader,
             clock=self.clock,
         )
-        self.runs = UnorderedRuns(
+        self.runs = RunRevoker(
             replica=self.submitter.replica,
             member=self.member,  # type: ignore[arg-type]
             proposer=self.proposer,  # type: ignore[arg-type]
-            lost_homes=self.homes,
+            home_monitor=self.homes,
             confirmed_homes={"h2"},
-            covered={},
-            withheld={},
+            confirmed_indexes={},
+            undecided_ends={},
         )
 
     @property
@@ -105,11 +105,11 @@
     await world.check()
     match case:
         case "confirmed before the start":
-            world.runs.covered["h2"] = started - 1
+            world.runs.confirmed_indexes["h2"] = started - 1
         case "confirmed with the start":
-            world.runs.covered["h2"] = started
+            world.runs.confirmed_indexes["h2"] = started
         case "started in a former term":
-            world.member.term_start = started + 1
+            world.member.term_start_index = started + 1
         case "worker moved to another home":
             world.submitter.register("vm", home="h3")
             world.submitter.register("vm", home="h2")
@@ -121,7 +121,7 @@
             world.member.is_leader = False
     await world.check(after_s=SILENT_S + 0.1)
     assert (world.status is JobStatus.PENDING) is taken_back
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
 
 
 async def test_confirmations_are_withheld_until_the_end_is_decided():
@@ -130,12 +130,12 @@
     world.proposer.unknown = True
     await world.check()
     await world.check(after_s=SILENT_S + 0.1)
-    assert [end.job_id for end in world.runs.withheld["h2"]] == ["job"]
+    assert [end.job_id for end in world.runs.undecided_ends["h2"]] == ["job"]
     world.homes.contacts["h2"] = world.clock.now
     world.proposer.unknown = False
     await world.check()
     assert world.status is JobStatus.PENDING
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
 
 
 async def test_undecided_ends_of_a_former_term_are_dropped():
@@ -145,7 +145,7 @@
     await world.check()
     await world.check(after_s=SILENT_S + 0.1)
     world.proposer.unknown = False
-    world.member.term, world.member.term_start = 3, 1_000
+    world.member.term, world.member.term_start_index = 3, 1_000
     await world.check()
     assert world.status is JobStatus.RUNNING
-    assert world.runs.withheld == {}
+    assert world.runs.undecided_ends == {}
