--- a/src/hyssopway/agreement/leader_suspicion.py
+++ b/src/hyssopway/agreement/leader_suspicion.py
@@ -12,39 +12,39 @@
 class LeaderSuspicion:
     """Records when a member last had a reason to suspect that there is no live leader.
 
-    A lost connection to the leader or the start of the own process indicates much earlier than the election timeout
-    that an election may be needed. The suspicion ends when the member hears from a leader again.
+    A lost connection or a start of the own process says much earlier than a long silence that a leader may be
+    needed. A member that hears a leader after the suspicion has begun drops it.
 
     Attributes:
-        clock: Clock in monotonic seconds.
-        started_at: Local time at which the last suspicion started.
-        started: Set when a suspicion starts.
+        clock: Monotonic seconds.
+        began_at: Local time at which the last suspicion began.
+        raised: Set when a suspicion begins.
     """
 
-    __slots__ = ("clock", "started", "started_at")
+    __slots__ = ("began_at", "clock", "raised")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
-        self.started_at = float("-inf")
-        self.started = asyncio.Event()
+        self.began_at = float("-inf")
+        self.raised = asyncio.Event()
 
     def start(self) -> None:
-        """Starts a suspicion now."""
-        self.started_at = self.clock()
-        self.started.set()
+        """Begins a suspicion now."""
+        self.began_at = self.clock()
+        self.raised.set()
 
     def is_active(self, *, heard_at: float) -> bool:
-        """Returns whether no leader was heard since the suspicion started."""
-        return self.started_at >= heard_at
+        """Returns whether no leader was heard since the suspicion began."""
+        return self.began_at >= heard_at
 
     async def wait(self, *, timeout_s: float) -> bool:
-        """Waits for a suspicion to start; returns False when the timeout expires first."""
+        """Waits for a suspicion to begin and returns whether one did."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self.started.wait()
+                await self.raised.wait()
         except TimeoutError:
             return False
-        self.started.clear()
+        self.raised.clear()
         return True
 
 
