--- a/tests/agreement/conftest.py
+++ b/tests/agreement/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures for groups in memory."""
+"""Fixtures for in-process Raft groups."""
 
 from __future__ import annotations
 
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -1,4 +1,4 @@
-"""A group of members in memory: a fake transport with cuts and stores whose writes can fail or stall."""
+"""An in-process Raft group whose network links can be blocked and whose disk writes can fail or stall."""
 
 from __future__ import annotations
 
@@ -31,93 +31,93 @@
     from collections.abc import Awaitable, Callable
     from pathlib import Path
 
-# Half of the timers of a daemon: shorter ones let a busy machine start elections of its own.
+# Shorter than the defaults; still shorter timeouts cause unwanted elections when the test machine is busy.
 TIMERS = Timers(
     heartbeat_s=0.05, election_min_s=0.4, election_max_s=0.8, call_s=1.2, stall_s=0.5, suspend_s=2
 )
 NAMES = ("a", "b", "c", "d", "e")
 
 
-class Machine:
-    """Records what is applied."""
+class RecordingStateMachine:
+    """Records the applied entries."""
 
     def __init__(self) -> None:
         self.applied: list[tuple[int, bytes]] = []
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
-        """Applies one entry; each index only once."""
-        assert not self.applied or index > self.applied[-1][0], "an index is applied twice"
+        """Records an entry; fails if its index was already applied."""
+        assert not self.applied or index > self.applied[-1][0], "an index was applied twice"
         self.applied.append((index, data))
         return Outcome(index=index, reference=data.decode())
 
     def encode_snapshot(self) -> bytes:
-        """Encodes what was applied."""
+        """Encodes the applied entries."""
         return b"\n".join(b"%d %s" % item for item in self.applied)
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replaces what was applied."""
+        """Replaces the applied entries."""
         lines = [line.partition(b" ") for line in data.split(b"\n") if line]
         self.applied = [(int(index), command) for index, _, command in lines]
 
     @property
     def commands(self) -> list[bytes]:
-        """Commands in the order of the log."""
+        """Applied commands in log order."""
         return [data for _, data in self.applied if data]
 
 
 class FaultyStore(Store):
-    """A store whose writes can be slow or fail."""
+    """A store whose writes of entries can be delayed or fail."""
 
     def __init__(self, *, folder: Path) -> None:
         super().__init__(folder=folder)
-        self.delay_s = 0.0
-        self.full = False
+        self.write_delay_s = 0.0
+        self.disk_full = False
 
     def write_entries(self, *, index: int, entries: Any) -> None:
-        """Writes entries after a delay, or fails."""
-        time.sleep(self.delay_s)
-        if self.full:
+        """Writes entries after `write_delay_s`; fails if `disk_full` is set."""
+        time.sleep(self.write_delay_s)
+        if self.disk_full:
             raise StorageError("no space left on device")
         super().write_entries(index=index, entries=entries)
 
 
 @dataclass(slots=True)
 class Node:
-    """One member with its tasks."""
+    """A member with its background tasks."""
 
     member: Member
-    state_machine: Machine
+    state_machine: RecordingStateMachine
     assembler: SnapshotAssembler = field(default_factory=SnapshotAssembler)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
     def store(self) -> FaultyStore:
-        """Store with faults."""
+        """The store, for injecting faults."""
         assert isinstance(self.member.store, FaultyStore)
         return self.member.store
 
 
 class FakeTransport:
-    """Delivers messages inside the process unless the way there or back is cut."""
+    """Delivers messages within the process unless the link for the request or the reply is blocked."""
 
     def __init__(self, *, group: Group, source: str) -> None:
         self.group = group
         self.source = source
 
     async def vote(self, *, daemon: str, request: Any, timeout_s: float) -> Any:
-        """Asks for a vote."""
+        """Requests a vote."""
         return await self._deliver(daemon, timeout_s, lambda n: answer_vote(member=n.member, request=request))
 
     async def append(self, *, daemon: str, request: Any, timeout_s: float) -> Any:
-        """Sends entries."""
+        """Sends entries or a heartbeat."""
         return await self._deliver(
             daemon, timeout_s, lambda n: answer_append(member=n.member, request=request)
         )
 
     async def install_snapshot(self, *, daemon: str, chunk: Any, timeout_s: float) -> Any:
-        """Sends a part of a snapshot."""
-        if self.group.on_chunk is not None:
-            await self.group.on_chunk(self.group.nodes[daemon], chunk)
+        """Sends a snapshot chunk."""
+        if self.group.before_chunk is not None:
+            await self.group.before_chunk(self.group.nodes[daemon], chunk)
         return await self._deliver(
             daemon, timeout_s, lambda n: answer_snapshot(member=n.member, assembler=n.assembler, chunk=chunk)
         )
@@ -126,22 +126,22 @@
         self.group.sent[self.source] += 1
         await asyncio.sleep(0.001)
         node = self.group.nodes.get(daemon)
-        if node is None or (self.source, daemon) in self.group.cuts:
+        if node is None or (self.source, daemon) in self.group.blocked_links:
             raise ConnectionError(daemon)
         async with asyncio.timeout(timeout_s):
             reply = await run_to_completion(answer(node))
-        if (daemon, self.source) in self.group.cuts:
+        if (daemon, self.source) in self.group.blocked_links:
             raise ConnectionError(daemon)
         return reply
 
 
 class Group:
-    """Members by daemon name.
+    """Members of an in-process group, by daemon name.
 
     Attributes:
-        cuts: Pairs of source and target between which nothing is delivered.
-        sent: Messages by sender.
-        on_chunk: Called before a part of a snapshot is delivered.
+        blocked_links: Pairs of source and target daemon between which no message is delivered.
+        sent: Number of messages by sender.
+        before_chunk: Called before a snapshot chunk is delivered.
     """
 
     def __init__(self, *, folder: Path, snapshot_entries: int = 10_000, timers: Timers = TIMERS) -> None:
@@ -149,15 +149,15 @@
         self.timers = timers
         self.snapshot_entries = snapshot_entries
         self.nodes: dict[str, Node] = {}
-        self.cuts: set[tuple[str, str]] = set()
+        self.blocked_links: set[tuple[str, str]] = set()
         self.sent: Counter[str] = Counter()
-        self.on_chunk: Callable[[Node, Any], Awaitable[None]] | None = None
+        self.before_chunk: Callable[[Node, Any], Awaitable[None]] | None = None
 
     def start(self, *names: str, initial: bool = True, subfolder: str = "") -> None:
-        """Starts members; without `initial` as members with a new identity."""
+        """Starts members; without `initial` they get a new identity and are not part of the group yet."""
         configuration = Configuration(voters=tuple(f"{name}/0" for name in NAMES)) if initial else None
         for name in names:
-            state_machine = Machine()
+            state_machine = RecordingStateMachine()
             member = Member(
                 daemon=name,
                 store=FaultyStore(folder=self.folder / f"{name}{subfolder}"),
@@ -181,21 +181,23 @@
             ]
 
     async def stop(self, *names: str) -> None:
-        """Stops members; all without names."""
+        """Stops the named members, or all of them."""
         for name in names or tuple(self.nodes):
             node = self.nodes.pop(name)
             for task in node.tasks:
                 task.cancel()
             await asyncio.gather(*node.tasks, return_exceptions=True)
-            # A real crash ends the threads; here a write in progress ends first.
+            # A real crash also ends the threads; here a write in progress is completed first.
             async with node.member.lock:
                 node.member.role = Role.STOPPED
                 node.store.close()
 
-    def cut(self, *names: str) -> None:
-        """Cuts members off from all others."""
+    def partition(self, *names: str) -> None:
+        """Blocks all links between the named members and the others."""
         others = [name for name in NAMES if name not in names]
-        self.cuts |= {(n, o) for n in names for o in others} | {(o, n) for n in names for o in others}
+        self.blocked_links |= {(n, o) for n in names for o in others} | {
+            (o, n) for n in names for o in others
+        }
 
     async def leader(self, *, among: tuple[str, ...] = NAMES, timeout_s: float = 15.0) -> Node:
         """Returns the leader with the highest term once it has committed an entry of its term."""
@@ -206,20 +208,20 @@
             if best is not None and best.member.commit_index >= best.member.term_start_index > 0:
                 return best
             await asyncio.sleep(0.01)
-        raise AssertionError("no leader in time")
+        raise AssertionError("no leader was elected in time")
 
     async def write(self, data: bytes, *, among: tuple[str, ...] = NAMES, timeout_s: float = 15.0) -> None:
-        """Proposes until the change is acknowledged."""
+        """Proposes a command repeatedly until it is acknowledged."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             node = await self.leader(among=among, timeout_s=timeout_s)
             if (await node.member.propose(data=data, timeout_s=1.0)).is_ok():
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError("no acknowledgement in time")
+        raise AssertionError("the command was not acknowledged in time")
 
-    async def converged(self, *, timeout_s: float = 15.0) -> list[bytes]:
-        """Waits until all members applied the same and returns it."""
+    async def wait_until_converged(self, *, timeout_s: float = 15.0) -> list[bytes]:
+        """Waits until all members have applied the same entries and returns the commands."""
         deadline = time.monotonic() + timeout_s
         while True:
             states = [node.state_machine.applied for node in self.nodes.values()]
@@ -237,5 +239,5 @@
     """Waits until a condition holds."""
     deadline = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < deadline, "condition not reached in time"
+        assert time.monotonic() < deadline, "the condition did not hold in time"
         await asyncio.sleep(0.01)
--- a/tests/agreement/linearizability.py
+++ b/tests/agreement/linearizability.py
@@ -1,4 +1,4 @@
-"""A small linearizability checker for histories of promotions and reads."""
+"""A linearizability checker for histories of compare-and-set promotions and reads."""
 
 from __future__ import annotations
 
@@ -10,10 +10,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Operation:
-    """One call with the times of its start and its answer.
+    """An operation with the times at which it started and ended.
 
-    A promotion compares the generation that it expects and sets the next one. With `end` PENDING its answer was
-    lost, so it took effect at any later time or never.
+    A promotion compares the generation with the expected one and, if equal, increments it. A promotion whose `end` is
+    PENDING got no answer: it may take effect at any time after its start or never.
+
+    Attributes:
+        start: Time of the call, in seconds.
+        end: Time of the answer, in seconds; PENDING if the answer was lost.
+        expected: Generation that a promotion expects; None for a read.
+        result: Generation that was returned; REFUSED for a refused promotion.
     """
 
     start: float
@@ -22,7 +28,7 @@
     result: int | None = None
 
     def apply(self, generation: int) -> int | None:
-        """Returns the generation behind the operation, or None when it cannot stand here."""
+        """Returns the generation after the operation, or None if its result contradicts `generation`."""
         if self.expected is None:
             return generation if self.result == generation else None
         accepted = self.expected == generation
@@ -32,20 +38,20 @@
 
 
 def is_linearizable(history: list[Operation]) -> bool:
-    """Tells whether some order that respects real time explains all results."""
-    seen: set[tuple[frozenset[int], int]] = set()
+    """Returns whether some sequential order that respects real time explains all results."""
+    explored: set[tuple[frozenset[int], int]] = set()
     stack = [(frozenset(range(len(history))), 0)]
     while stack:
-        left, generation = stack.pop()
-        if all(history[number].end == PENDING for number in left):
+        remaining, generation = stack.pop()
+        if all(history[number].end == PENDING for number in remaining):
             return True
-        if (left, generation) in seen:
+        if (remaining, generation) in explored:
             continue
-        seen.add((left, generation))
-        first_end = min(history[number].end for number in left)
-        for number in left:
+        explored.add((remaining, generation))
+        first_end = min(history[number].end for number in remaining)
+        for number in remaining:
             if history[number].start <= first_end:
-                following = history[number].apply(generation)
-                if following is not None:
-                    stack.append((left - {number}, following))
+                next_generation = history[number].apply(generation)
+                if next_generation is not None:
+                    stack.append((remaining - {number}, next_generation))
     return False
--- a/tests/agreement/test_cancelled_writes.py
+++ b/tests/agreement/test_cancelled_writes.py
@@ -1,4 +1,4 @@
-"""Writes of the store under cancellation: none may go on without the lock, and memory must match the disk."""
+"""Cancellation during store writes: the lock stays held until a write ends, and memory matches the disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from agreement.group import Machine
+from agreement.group import RecordingStateMachine
 from hyssopway.agreement import (
     Configuration,
     Member,
@@ -33,39 +33,39 @@
 VOTERS = ("a/0", "b/0", "c/0")
 
 
-class HeldStore(Store):
-    """A store whose writes wait until a test lets them go on."""
+class BlockingStore(Store):
+    """A store whose writes block until a test releases them."""
 
     def __init__(self, *, folder: Path) -> None:
         super().__init__(folder=folder)
-        self.begun = threading.Event()
-        self.may_go_on = threading.Event()
-        self.may_go_on.set()
+        self.write_started = threading.Event()
+        self.released = threading.Event()
+        self.released.set()
 
-    def hold(self) -> None:
-        """Makes the next writes wait."""
-        self.begun.clear()
-        self.may_go_on.clear()
+    def block(self) -> None:
+        """Blocks the next writes."""
+        self.write_started.clear()
+        self.released.clear()
 
-    def _pass(self) -> None:
-        self.begun.set()
-        assert self.may_go_on.wait(timeout=10)
+    def _wait_for_release(self) -> None:
+        self.write_started.set()
+        assert self.released.wait(timeout=10)
 
     def write_vote(self, **arguments: Any) -> None:
-        self._pass()
+        self._wait_for_release()
         super().write_vote(**arguments)
 
     def write_entries(self, **arguments: Any) -> None:
-        self._pass()
+        self._wait_for_release()
         super().write_entries(**arguments)
 
     def write_snapshot(self, snapshot: Any) -> None:
-        self._pass()
+        self._wait_for_release()
         super().write_snapshot(snapshot)
 
 
 class GrantingTransport:
-    """Voters that grant every vote and answer nothing else."""
+    """A transport to voters that grant every vote."""
 
     async def vote(self, *, daemon: str, request: VoteRequest, timeout_s: float) -> Any:
         """Grants a vote."""
@@ -76,8 +76,8 @@
 def member(tmp_path: Path) -> Member:
     member = Member(
         daemon="a",
-        store=HeldStore(folder=tmp_path),
-        state_machine=Machine(),
+        store=BlockingStore(folder=tmp_path),
+        state_machine=RecordingStateMachine(),
         clock=time.monotonic,
         timers=TIMERS,
         snapshot_entries=1,
@@ -153,33 +153,33 @@
 async def test_cancelled_write_keeps_the_lock_until_it_ends(
     member: Member, write: Callable[[Member], Awaitable[Any]]
 ):
-    """Guards against files that are closed, or written a second time, beside a write that goes on."""
+    """Guards against files that are closed or written by others while a cancelled caller's write still runs."""
     store = member.store
-    assert isinstance(store, HeldStore)
-    store.hold()
+    assert isinstance(store, BlockingStore)
+    store.block()
     task = asyncio.ensure_future(write(member))
-    await asyncio.to_thread(store.begun.wait, 5)
+    await asyncio.to_thread(store.write_started.wait, 5)
     task.cancel()
     await asyncio.sleep(0.02)
-    task.cancel()  # a second cancellation must not free the lock either
+    task.cancel()  # a second cancellation must not release the lock either
     await asyncio.sleep(0.02)
     was_locked = member.lock.locked()
-    store.may_go_on.set()
+    store.released.set()
     await asyncio.gather(task, return_exceptions=True)
     assert was_locked
     await member.stop()
 
 
 async def test_cancelled_snapshot_is_adopted_in_memory(member: Member, tmp_path: Path):
-    """Guards against a log in memory that begins elsewhere than the one on disk."""
+    """Guards against a cancelled compaction that truncates the log on disk but not in memory."""
     store = member.store
-    assert isinstance(store, HeldStore)
-    store.hold()
+    assert isinstance(store, BlockingStore)
+    store.block()
     task = asyncio.ensure_future(_compact(member))
-    await asyncio.to_thread(store.begun.wait, 5)
+    await asyncio.to_thread(store.write_started.wait, 5)
     task.cancel()
     await asyncio.sleep(0.02)
-    store.may_go_on.set()
+    store.released.set()
     await asyncio.gather(task, return_exceptions=True)
     async with member.lock:
         assert store.snapshot.index == 1
--- a/tests/agreement/test_early_elections.py
+++ b/tests/agreement/test_early_elections.py
@@ -1,4 +1,4 @@
-"""Elections that do not wait for a long silence, and duels of two candidates."""
+"""Elections before the election timeout expires, and competing candidates."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 
     from hyssopway.agreement import Member
 
-# Silence alone would take 3 s, so a faster election must have another reason.
+# The election timeout is at least 3 s, so a faster election must have another cause.
 SLOW_TIMERS = Timers(heartbeat_s=0.05, election_min_s=3.0, election_max_s=4.0, call_s=1.2, doubt_s=0.35)
-# Doubt, the ranks of five members, votes on disk, and slack for a busy machine.
+# Time for `doubt_s`, the staggered campaigns of five members, the writes of votes, and slack for a busy machine.
 EARLY_ELECTION_S = 1.5
 
 
 @pytest.fixture
 async def lone_member(tmp_path: Path):
-    """The only running member of five, without its tasks."""
+    """The only running member of five, without its background tasks."""
     group = Group(folder=tmp_path)
     group.start("a")
     node = group.nodes["a"]
@@ -37,7 +37,7 @@
 
 
 @pytest.fixture
-async def patient_group(tmp_path: Path):
+async def slow_timeout_group(tmp_path: Path):
     group = Group(folder=tmp_path, timers=SLOW_TIMERS)
     yield group
     await group.stop()
@@ -55,27 +55,27 @@
 
 
 async def test_candidate_that_voted_for_itself_refuses_pre_votes(lone_member: Member):
-    """Guards against a new leader that helps another candidate to depose it before it is confirmed.
+    """Guards against a new leader that grants a pre-vote to another candidate before a quorum has confirmed it.
 
-    Seen on a day of the bench: the leader of term 5 was deposed after 16 ms by a candidate of term 6.
+    In a benchmark run the leader of term 5 was deposed after 16 ms by a candidate of term 6.
     """
     member = lone_member
     member.started_at = float("-inf")
-    await election._campaign(member=member, transport=_Granting(member))
+    await election._campaign(member=member, transport=_GrantingTransport(member))
     assert member.is_leader
     assert not (await answer_vote(member=member, request=_pre_vote(member, candidate="b/0"))).granted
 
 
 async def test_candidacy_ends_when_another_election_began_since_the_pre_vote(lone_member: Member):
-    """Guards against a candidate that passed its pre-vote before the election that it then deposes."""
+    """Guards against a candidate that deposes the winner of an election that began after its pre-vote."""
     member = lone_member
-    await election._campaign(member=member, transport=_Granting(member, raise_term=True))
+    await election._campaign(member=member, transport=_GrantingTransport(member, raise_term=True))
     assert not member.is_leader
     assert member.store.vote.voted_for == ""
 
 
-class _Granting:
-    """Voters that grant everything; may let another election begin meanwhile."""
+class _GrantingTransport:
+    """A transport to voters that grant every vote; `raise_term` starts another election during the pre-vote."""
 
     def __init__(self, member: Member, *, raise_term: bool = False) -> None:
         self.member = member
@@ -87,54 +87,54 @@
         return VoteReply(term=0, granted=True)
 
 
-async def test_members_that_all_start_elect_a_leader_at_once(patient_group: Group):
-    """Guards against a group that waits for the silence of a leader that nobody knows."""
-    patient_group.start(*NAMES)
+async def test_members_that_all_start_elect_a_leader_at_once(slow_timeout_group: Group):
+    """Guards against a starting group that waits for the election timeout although it has no leader."""
+    slow_timeout_group.start(*NAMES)
     started = time.monotonic()
-    leader = await patient_group.leader()
+    leader = await slow_timeout_group.leader()
     assert time.monotonic() - started < EARLY_ELECTION_S
-    await patient_group.write(b"x")
+    await slow_timeout_group.write(b"x")
     term = leader.member.term
-    await patient_group.stop(*NAMES)
-    patient_group.start(*NAMES)
+    await slow_timeout_group.stop(*NAMES)
+    slow_timeout_group.start(*NAMES)
     started = time.monotonic()
-    leader = await patient_group.leader()
+    leader = await slow_timeout_group.leader()
     assert time.monotonic() - started < EARLY_ELECTION_S
     assert leader.member.term > term
 
 
-async def test_lost_connections_of_the_leader_start_an_election(patient_group: Group):
-    """Guards against waiting for the full silence after the leader's process was killed."""
-    patient_group.start(*NAMES)
-    leader = name_of(await patient_group.leader())
+async def test_lost_connections_to_the_leader_start_an_election(slow_timeout_group: Group):
+    """Guards against waiting for the full election timeout after the leader's process was killed."""
+    slow_timeout_group.start(*NAMES)
+    leader = name_of(await slow_timeout_group.leader())
     others = tuple(name for name in NAMES if name != leader)
-    await patient_group.stop(leader)
+    await slow_timeout_group.stop(leader)
     started = time.monotonic()
     for name in others:
-        patient_group.nodes[name].member.leader_suspicion.start()
-    await patient_group.leader(among=others)
+        slow_timeout_group.nodes[name].member.leader_suspicion.start()
+    await slow_timeout_group.leader(among=others)
     assert time.monotonic() - started < EARLY_ELECTION_S
 
 
-async def test_living_leader_outlasts_doubts(patient_group: Group):
-    """Guards against connections that are reset and cost a leader its term."""
-    patient_group.start(*NAMES)
-    leader = await patient_group.leader()
+async def test_live_leader_survives_suspicions(slow_timeout_group: Group):
+    """Guards against a live leader that is deposed because its connections were reset."""
+    slow_timeout_group.start(*NAMES)
+    leader = await slow_timeout_group.leader()
     term = leader.member.term
     for _ in range(5):
-        for node in patient_group.nodes.values():
+        for node in slow_timeout_group.nodes.values():
             node.member.leader_suspicion.start()
         await asyncio.sleep(0.2)
     assert leader.member.is_leader
     assert leader.member.term == term
 
 
-async def test_doubting_member_grants_nothing_while_its_leader_may_act(patient_group: Group):
-    """Guards against two leaders that order at the same time around lost connections."""
-    patient_group.start(*NAMES)
-    leader = name_of(await patient_group.leader())
+async def test_suspecting_member_grants_no_vote_while_its_leader_may_act(slow_timeout_group: Group):
+    """Guards against two leaders that act at the same time after connections were lost."""
+    slow_timeout_group.start(*NAMES)
+    leader = name_of(await slow_timeout_group.leader())
     follower, candidate = _two_others(leader)
-    member = patient_group.nodes[follower].member
+    member = slow_timeout_group.nodes[follower].member
     await asyncio.sleep(SLOW_TIMERS.heartbeat_s * 3)
     member.leader_suspicion.start()
     request = _pre_vote(member, candidate=f"{candidate}/0")
@@ -150,8 +150,8 @@
     assert not (await answer_vote(member=member, request=real)).granted
 
 
-async def test_started_member_grants_nothing_while_an_earlier_leader_may_act(lone_member: Member):
-    """Guards against a vote right after a restart, while the leader that was heard before it still acts."""
+async def test_restarted_member_grants_no_vote_while_an_earlier_leader_may_act(lone_member: Member):
+    """Guards against a vote right after a restart, while a leader that was heard before may still act."""
     request = _pre_vote(lone_member, candidate="b/0")
     assert not (await answer_vote(member=lone_member, request=request)).granted
 
--- a/tests/agreement/test_files_stateful.py
+++ b/tests/agreement/test_files_stateful.py
@@ -1,4 +1,4 @@
-"""State machine tests of the log file and the slot file against a list and a value in memory."""
+"""Stateful property tests of the store and the slot file against models in memory."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class StoreMachine(RuleBasedStateMachine):
-    """Guards against entries, votes and snapshots that a restart brings back wrong."""
+    """Guards against entries, votes and snapshots that are wrong after a restart."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -36,7 +36,7 @@
         self.store = self.open_store()
 
     def open_store(self) -> Store:
-        """Opens the folder again."""
+        """Opens the store of the folder."""
         store = Store(folder=Path(self.folder.name))
         store.open(daemon="a", initial=Configuration(voters=("a/0",)))
         return store
@@ -52,7 +52,7 @@
 
     @rule(share=st.floats(0, 1))
     def compact(self, share: float) -> None:
-        """Replaces the first entries by a snapshot."""
+        """Replaces the first entries with a snapshot."""
         count = int(share * len(self.model))
         if count:
             snapshot = Snapshot(index=self.first + count - 1, term=1, data=b"state %d" % count)
@@ -68,7 +68,7 @@
 
     @rule(torn=st.binary(max_size=30))
     def restart(self, torn: bytes) -> None:
-        """Opens the folder again with a torn tail."""
+        """Appends a torn record to the log and opens the store again."""
         self.store.close()
         with self.store.log_file.path.open("ab") as log:
             log.write(torn)
@@ -76,7 +76,7 @@
 
     @invariant()
     def matches(self) -> None:
-        """Compares with the model."""
+        """Compares the store with the model."""
         assert self.store.entries == self.model
         assert self.store.snapshot.index == self.first - 1
         assert (self.store.vote.term, self.store.vote.voted_for) == self.vote
@@ -89,7 +89,7 @@
 
 
 class SlotMachine(RuleBasedStateMachine):
-    """Guards against a value that a restart or a torn write of the next one loses."""
+    """Guards against a value that is lost by a restart or by a torn write of the next value."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -107,7 +107,7 @@
 
     @rule(data=st.binary(min_size=1, max_size=200))
     def crash_in_next_write(self, data: bytes) -> None:
-        """Tears the next write after its first changed byte."""
+        """Simulates a write that is torn after its first changed byte."""
         if self.value is None:
             return
         before = self.path.read_bytes()
--- a/tests/agreement/test_group.py
+++ b/tests/agreement/test_group.py
@@ -1,4 +1,4 @@
-"""Elections and commit safety of five members over cuts."""
+"""Elections and safety of committed entries in a group of five, with partitions and restarts."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 async def test_vote_for_lost_identity_is_refused(group: Group):
-    """Guards against counting the vote of an empty disk as that of the member it replaced."""
+    """Guards against counting the vote of a member with an empty disk as that of the member it replaced."""
     await group.leader()
     await group.stop("e")
     group.start("e", initial=False, subfolder="-new")
-    replaced = group.nodes["e"].member
+    replacement = group.nodes["e"].member
     request = VoteRequest(
         term=99, candidate="a/0", target="e/0", last_index=999, last_term=98, pre_vote=False
     )
-    assert not (await answer_vote(member=replaced, request=request)).granted
-    assert replaced.store.vote.voted_for == ""
+    assert not (await answer_vote(member=replacement, request=request)).granted
+    assert replacement.store.vote.voted_for == ""
 
 
 async def test_pre_vote_waits_for_a_candidate_that_has_the_vote(group: Group):
-    """Guards against a new leader that a second candidate deposes before its first message is there."""
+    """Guards against a new leader that a second candidate deposes before its first message arrives."""
     await group.leader()
     await group.stop("b", "c", "d", "e")
     member = group.nodes["a"].member
@@ -44,14 +44,14 @@
         term=member.term + 1, candidate="b/0", target="a/0", last_index=999, last_term=98, pre_vote=False
     )
     assert (await answer_vote(member=member, request=vote)).granted
-    rival = replace(vote, term=member.term + 1, candidate="c/0", pre_vote=True)
-    assert not (await answer_vote(member=member, request=rival)).granted
+    second_candidate = replace(vote, term=member.term + 1, candidate="c/0", pre_vote=True)
+    assert not (await answer_vote(member=member, request=second_candidate)).granted
     await asyncio.sleep(TIMERS.election_min_s)
-    assert (await answer_vote(member=member, request=rival)).granted
+    assert (await answer_vote(member=member, request=second_candidate)).granted
 
 
-async def test_parts_of_two_snapshots_do_not_mix(group: Group):
-    """Guards against a state put together from the snapshots of two leaders."""
+async def test_chunks_of_two_snapshots_are_not_mixed(group: Group):
+    """Guards against a state that is assembled from the snapshots of two leaders."""
     await group.leader()
     node = group.nodes["a"]
     await group.stop("b", "c", "d", "e")
@@ -83,40 +83,40 @@
     old = await group.leader()
     name = name_of(old)
     others = tuple(other for other in NAMES if other != name)
-    group.cuts = {(name, other) for other in others}
+    group.blocked_links = {(name, other) for other in others}
     if both_ways:
-        group.cut(name)
+        group.partition(name)
     isolated = asyncio.create_task(old.member.propose(data=b"isolated", timeout_s=1))
     for number in range(20):
         await group.write(b"during %d" % number, among=others)
     assert (await isolated).is_error()
-    group.cuts.clear()
+    group.blocked_links.clear()
     await group.write(b"after")
-    commands = await group.converged()
+    commands = await group.wait_until_converged()
     expected = [b"before %d" % n for n in range(20)] + [b"during %d" % n for n in range(20)] + [b"after"]
     assert commands == expected
 
 
 async def test_election_after_long_isolation_of_all_is_fast(group: Group):
-    """Guards against timeouts that grow while nobody can be reached and delay the next leader."""
+    """Guards against election timeouts that grow during an isolation and delay the next election."""
     await group.leader()
-    group.cuts = {(a, b) for a in NAMES for b in NAMES if a != b}
+    group.blocked_links = {(a, b) for a in NAMES for b in NAMES if a != b}
     await asyncio.sleep(6 * TIMERS.election_max_s)
-    group.cuts.clear()
+    group.blocked_links.clear()
     started = time.monotonic()
     await group.leader()
     assert time.monotonic() - started < 4 * TIMERS.election_max_s
 
 
-async def test_two_losses_and_restarts_keep_every_change(group: Group):
-    """Guards against a restart that forgets what it acknowledged."""
+async def test_no_acknowledged_change_is_lost_over_restarts_of_two_members(group: Group):
+    """Guards against a member that loses acknowledged changes in a restart."""
     for number in range(6):
         lost = NAMES[number % 5], NAMES[(number + 1) % 5]
         await group.write(b"%d" % number)
         await group.stop(*lost)
         await group.write(b"%d without two" % number)
         group.start(*lost)
-    commands = await group.converged()
+    commands = await group.wait_until_converged()
     assert [data for data in commands if b"w" not in data] == [b"%d" % n for n in range(6)]
     assert [data for data in commands if b"w" in data] == [b"%d without two" % n for n in range(6)]
 
@@ -135,7 +135,7 @@
         acknowledged += [item for item, result in zip(batch, results, strict=True) if result.is_ok()]
         leader = await group.leader()
     group.start("e")
-    commands = await group.converged()
+    commands = await group.wait_until_converged()
     assert len(acknowledged) > 200
     assert set(acknowledged) <= set(commands)
     assert len(set(commands)) == len(commands)
@@ -146,7 +146,7 @@
 async def test_deposed_leader_sends_no_snapshot_in_a_later_term(
     group: Group, monkeypatch: pytest.MonkeyPatch
 ):
-    """Guards against a member that claims to lead a term that it only heard of."""
+    """Guards against a snapshot chunk with a term that the sender knows of but does not lead."""
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 8)
     leader = await group.leader()
     await group.write(b"a state of several parts")
@@ -161,7 +161,7 @@
         async with member.lock:
             await member.adopt_term(term + 5)
 
-    group.on_chunk = depose
+    group.before_chunk = depose
     progress = next(iter(member.progress.values()))
     progress.next_index, progress.match_index = 1, 0
     progress.wake.set()
--- a/tests/agreement/test_linearizability.py
+++ b/tests/agreement/test_linearizability.py
@@ -1,4 +1,4 @@
-"""Histories of promotions and reads over elections and cuts."""
+"""Linearizability of promotions and reads during elections and partitions."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
 
 @pytest.mark.parametrize(("name", "calls", "expected"), HISTORIES, ids=[item[0] for item in HISTORIES])
 def test_checker(name: str, calls: list[tuple[float, float, int | None, int | None]], expected: bool):
-    """Guards against a checker that accepts everything."""
+    """Guards against a checker that accepts histories which are not linearizable."""
     history = [Operation(start=a, end=b, expected=c, result=d) for a, b, c, d in calls]
     assert is_linearizable(history) is expected
 
 
 def generation_at(node: Node) -> int:
-    """Replays compare-and-set of the generation over what a member applied."""
+    """Returns the generation after replaying the commands that a member has applied."""
     generation = 0
     for command in node.state_machine.commands:
         generation += int(command) == generation
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 async def test_promotions_and_reads_are_linearizable(group: Group, seed: int):
-    """Guards against a read from a deposed leader and against a promotion that reverts."""
+    """Guards against a stale read from a deposed leader and against a promotion that is reverted."""
     rng = random.Random(seed)
     history: list[Operation] = []
     await group.leader()
@@ -89,19 +89,19 @@
             await rng.choice((promote, read))(group, rng, history)
             await asyncio.sleep(rng.uniform(0.01, 0.05))
 
-    async def disturb() -> None:
+    async def block_links() -> None:
         while time.monotonic() < deadline:
             leaders = [name for name, node in group.nodes.items() if node.member.is_leader]
             victim = rng.choice(leaders or NAMES)
             if rng.random() < 0.5:
-                group.cut(victim)
+                group.partition(victim)
             else:
-                group.cuts = {(victim, other) for other in NAMES if other != victim}
+                group.blocked_links = {(victim, other) for other in NAMES if other != victim}
             await asyncio.sleep(rng.uniform(0.3, 1.0))
-            group.cuts.clear()
+            group.blocked_links.clear()
             await asyncio.sleep(rng.uniform(0.3, 1.0))
 
-    await asyncio.gather(*(call() for _ in range(4)), disturb())
+    await asyncio.gather(*(call() for _ in range(4)), block_links())
     reads = sum(operation.expected is None for operation in history)
     assert reads > 3
     assert len(history) - reads > 3
--- a/tests/agreement/test_log_file.py
+++ b/tests/agreement/test_log_file.py
@@ -1,4 +1,4 @@
-"""Torn tails and damage of the files of a member."""
+"""Torn writes, damage and failed writes in the files of a member."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def test_log_cut_at_every_byte_keeps_whole_records(tmp_path: Path):
-    """Guards against a torn tail that is read as an entry or stops the start."""
+    """Guards against a torn record that is read as an entry or prevents the start."""
     path = tmp_path / "log"
     raw = write_log(path, ENTRIES)
     for length in range(len(raw) + 1):
@@ -48,7 +48,7 @@
 
 
 def test_flipped_bit_at_every_byte_is_never_read(tmp_path: Path):
-    """Guards against a damaged entry that is applied, and against entries lost in front of intact ones."""
+    """Guards against reading a damaged entry, and against silently dropping entries that precede intact ones."""
     path = tmp_path / "log"
     raw = write_log(path, ENTRIES)
     record = len(raw) // len(ENTRIES)
@@ -65,7 +65,7 @@
 def test_crash_while_entries_are_replaced_is_no_damage(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, written: int
 ):
-    """Guards against old records behind a torn write that look like damage in the middle."""
+    """Guards against old records after a torn write, which make it look like damage in the middle of the log."""
     path = tmp_path / "log"
     write_log(path, ENTRIES)
     log = LogFile(path=path)
@@ -86,7 +86,7 @@
 def test_entries_after_failed_rewrite_are_durable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, failing: str
 ):
-    """Guards against writing on to a file that a rename already replaced."""
+    """Guards against appending to a file that a rename has already replaced."""
     store = Store(folder=tmp_path)
     store.open(daemon="a", initial=Configuration(voters=("a/0",)))
     store.entries = list(ENTRIES)
@@ -126,7 +126,7 @@
 
 
 def test_flipped_bit_in_slot_file_does_not_bring_back_an_earlier_vote(tmp_path: Path):
-    """Guards against a second vote in a term after damage to the copy of the first."""
+    """Guards against a second vote in a term after one copy of the first vote was damaged."""
     path = tmp_path / "vote"
     slots = SlotFile(path=path)
     slots.open()
--- a/tests/agreement/test_membership.py
+++ b/tests/agreement/test_membership.py
@@ -1,4 +1,4 @@
-"""Changes of the members, one at a time."""
+"""Membership changes, one at a time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 async def change(group: Group, wanted: MemberChange, *, timeout_s: float = 8.0) -> Any:
-    """Asks the leader again while it is busy or the learner has not caught up."""
+    """Requests a change; retries while another is in progress or the learner has not caught up."""
     deadline = time.monotonic() + timeout_s
     while True:
         leader = await group.leader()
@@ -42,8 +42,8 @@
 
 
 @pytest.mark.parametrize(("wanted", "code"), REFUSALS, ids=lambda value: str(value)[:30])
-async def test_change_that_does_not_fit_is_refused(group: Group, wanted: MemberChange, code: ResultCode):
-    """Guards against two members on one daemon and against votes for strangers."""
+async def test_invalid_change_is_refused(group: Group, wanted: MemberChange, code: ResultCode):
+    """Guards against two members on one daemon, and against promoting or removing unknown members."""
     result = await change(group, wanted)
     assert result.error.code is code
     assert result.error.work == "not_run"
@@ -61,10 +61,10 @@
 
 
 async def test_removal_right_after_an_election_waits_for_the_rest_to_answer(group: Group):
-    """Guards against a removal that leaves voters without a quorum known to answer.
+    """Guards against a removal after which no quorum of the remaining voters is known to be reachable.
 
-    A new leader may commit its first entry with two of four answers; without one of the two that answered, only two
-    of the four voters that remain are known to be reachable.
+    A new leader of five may commit its first entry with two of four replies. If one of the two members that replied is
+    removed, only two of the four remaining voters are known to be reachable.
     """
     leader = await group.leader()
     others = list(leader.member.progress.values())
@@ -81,7 +81,7 @@
 
 
 async def test_new_leader_changes_members_only_after_its_first_commit(group: Group):
-    """Guards against a change on top of an uncommitted change of an earlier leader."""
+    """Guards against a change that follows an uncommitted change of an earlier leader."""
     leader = await group.leader()
     leader.member.commit_index = leader.member.term_start_index - 1
     result = await leader.member.change_members(RemoveMember(member_id="a/0"), timeout_s=1)
@@ -89,7 +89,7 @@
 
 
 async def test_lost_member_is_replaced_and_two_more_losses_follow(group: Group):
-    """Guards against a group that stops at a second loss right after a repair."""
+    """Guards against a group that loses its quorum when more members fail right after one was replaced."""
     for number in range(300):
         if number % 100 == 0:
             await group.write(b"%d" % number)
@@ -103,32 +103,32 @@
     assert (await change(group, AddLearner(member_id=replacement))).is_ok()
     assert (await change(group, AddLearner(member_id=replacement))).is_ok()
     assert (await change(group, PromoteLearner(member_id=replacement))).is_ok()
-    assert len(await group.converged()) == 3
+    assert len(await group.wait_until_converged()) == 3
     rest = [name for name in NAMES if name not in (lost, name_of(await group.leader()))]
     await group.stop(*rest[:2])
     await group.write(b"with three of five")
     assert group.nodes[lost].member.is_voter
 
 
-async def test_learner_that_lags_is_not_promoted(group: Group):
-    """Guards against a vote for a member that cannot help to commit anything."""
+async def test_lagging_learner_is_not_promoted(group: Group):
+    """Guards against a new voter that lags too far to help commit entries."""
     leader = await group.leader()
     group.start("f", initial=False)
     learner = group.nodes["f"].member.member_id
     assert (await change(group, AddLearner(member_id=learner))).is_ok()
-    group.cuts |= {(name, "f") for name in NAMES}
+    group.blocked_links |= {(name, "f") for name in NAMES}
     await asyncio.gather(*(leader.member.propose(data=b"%d" % n, timeout_s=3) for n in range(150)))
     result = await leader.member.change_members(PromoteLearner(member_id=learner), timeout_s=1)
     assert result.error.code is ResultCode.NOT_CAUGHT_UP
-    group.cuts.clear()
+    group.blocked_links.clear()
     assert (await change(group, PromoteLearner(member_id=learner))).is_ok()
-    assert len(await group.converged()) == 150
+    assert len(await group.wait_until_converged()) == 150
 
 
-async def test_removed_leader_leaves_the_lead_to_the_others(group: Group):
-    """Guards against a leader that goes on without being a member."""
+async def test_removed_leader_steps_down(group: Group):
+    """Guards against a leader that keeps leading after it was removed from the group."""
     old = await group.leader()
-    # A leader commits when two others have answered, and rightly refuses to remove itself before a third has.
+    # A leader commits with two replies but correctly refuses its own removal before a third member has replied.
     await wait_until(lambda: all(progress.acked_at > 0 for progress in old.member.progress.values()))
     assert (
         await old.member.change_members(RemoveMember(member_id=old.member.member_id), timeout_s=2)
