--- a/src/hyssopway/node/control_calls.py
+++ b/src/hyssopway/node/control_handlers.py
@@ -34,7 +34,7 @@
     )
 
 
-class ControlCalls:
+class ControlHandlers:
     """Implements `PeerHandlers` with the calls that a control node serves.
 
     Attributes:
@@ -43,11 +43,13 @@
         parts: Snapshot of a leader while it arrives.
     """
 
-    __slots__ = ("assembler", "exchanges", "member")
+    __slots__ = ("assembler", "exchange_handlers", "member")
 
-    def __init__(self, *, member: Member, exchanges: dict[str, Callable[[bytes], Awaitable[bytes]]]) -> None:
+    def __init__(
+        self, *, member: Member, exchange_handlers: dict[str, Callable[[bytes], Awaitable[bytes]]]
+    ) -> None:
         self.member = member
-        self.exchanges = exchanges
+        self.exchange_handlers = exchange_handlers
         self.assembler = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
@@ -71,7 +73,7 @@
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
         """Answers an exchange."""
-        return await self.exchanges[topic](data)
+        return await self.exchange_handlers[topic](data)
 
     async def propose(self, command: bytes) -> ProposeReply:
         """Is not served: requests are relayed instead."""
@@ -102,4 +104,4 @@
     raise NotImplementedError(f"{call} is not served by this kind of node")
 
 
-__all__ = ["ControlCalls"]
+__all__ = ["ControlHandlers"]
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -35,8 +35,8 @@
 )
 from hyssopway.workflow import WorkflowState
 
-from .control_calls import ControlCalls
-from .group_keeper import GroupKeeper
+from .control_handlers import ControlHandlers
+from .membership_manager import MembershipManager
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,11 +44,11 @@
     from .node_settings import NodeSettings
     from .request_service import RequestService
 
-LEAD_CHECK_S = 0.02
-JOIN_S = 0.5
+LEADERSHIP_CHECK_INTERVAL_S = 0.02
+JOIN_INTERVAL_S = 0.5
 JOIN_TIMEOUT_S = 0.8
-LEFT_OUT_S = 2.0
-STOPPING_TIMEOUT_S = 0.3
+ASSUME_REMOVED_AFTER_S = 2.0
+STOP_NOTICE_TIMEOUT_S = 0.3
 SNAPSHOT_ENTRIES = 5000
 # Control nodes of one deployment are about a millisecond apart; the shortest silence stays above the age up to which
 # a leader may order (`dispatch.leadership`).
@@ -97,18 +97,20 @@
             directory=self.directory, seed_hosts=settings.seed_hosts, clock=monotonic_s
         )
         self.relay = Relay(finder=self.finder)
-        self.keeper = GroupKeeper(member=self.member, tolerated_losses=settings.tolerated_losses)
+        self.membership_manager = MembershipManager(
+            member=self.member, tolerated_losses=settings.tolerated_losses
+        )
         self.conductor: Conductor | None = None
-        calls = ControlCalls(
+        handlers = ControlHandlers(
             member=self.member,
-            exchanges={
-                RELAY: self._take_relayed,
-                LEADER: self._tell_leader,
-                JOIN: self._take_joiner,
-                STOPPING: self._take_stopping,
+            exchange_handlers={
+                RELAY: self._handle_relayed,
+                LEADER: self._handle_leader_query,
+                JOIN: self._handle_join,
+                STOPPING: self._handle_stop_notice,
             },
         )
-        self.peer_server = PeerServer(handlers=calls, token=PEER_TOKEN)
+        self.peer_server = PeerServer(handlers=handlers, token=PEER_TOKEN)
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -125,9 +127,9 @@
             "apply": member.apply_committed,
             "elections": lambda: run_elections(member=member, transport=self.directory, rng=rng),
             "replication": lambda: run_replication(member=member, transport=self.directory),
-            "group": self.keeper.run,
-            "join": self._join,
-            "lead": self._lead,
+            "group": self.membership_manager.run,
+            "join": self._join_group,
+            "lead": self._run_leadership,
             "finder": self.finder.run,
         }
         self.tasks = [
@@ -142,7 +144,7 @@
         member.suspend_candidacy()
         member.step_down(reason="the node stops")
         others = [daemon_of(voter) for voter in member.configuration.voters if voter != member.member_id]
-        await asyncio.gather(*(self._tell_stopping(other) for other in others))
+        await asyncio.gather(*(self._send_stop_notice(other) for other in others))
 
     async def stop(self) -> None:
         """Stops all tasks and closes durable state."""
@@ -202,10 +204,10 @@
                 return reply
         return await self.relay.send(request, timeout_s=timeout_s)
 
-    async def _lead(self) -> None:
+    async def _run_leadership(self) -> None:
         member = self.member
         while True:
-            await asyncio.sleep(LEAD_CHECK_S)
+            await asyncio.sleep(LEADERSHIP_CHECK_INTERVAL_S)
             if not member.is_leader or member.applied_index < member.term_start_index:
                 continue
             leadership = Leadership(member=member, state=self.state, clock=monotonic_s)
@@ -222,17 +224,19 @@
             finally:
                 self.conductor = None
 
-    async def _join(self) -> None:
+    async def _join_group(self) -> None:
         """Asks to join for as long as the group does not hold this member."""
         while True:
             member = self.member
             # A member that was removed while it was down still has its old configuration; it hears no leader.
-            is_left_out = not member.is_leader and member.clock() - member.heard_at > LEFT_OUT_S
-            if is_left_out or member.member_id not in member.configuration.members:
-                await self._ask_to_join()
-            await asyncio.sleep(JOIN_S)
+            is_probably_removed = (
+                not member.is_leader and member.clock() - member.heard_at > ASSUME_REMOVED_AFTER_S
+            )
+            if is_probably_removed or member.member_id not in member.configuration.members:
+                await self._request_join()
+            await asyncio.sleep(JOIN_INTERVAL_S)
 
-    async def _ask_to_join(self) -> None:
+    async def _request_join(self) -> None:
         leader = self.finder.leader
         if not leader or leader == self.settings.host:
             return
@@ -243,25 +247,25 @@
         except PeerUnreachableError as error:
             log_event(Event.LEADER_MISSING, reason=f"cannot ask to join: {error}")
 
-    async def _take_relayed(self, data: bytes) -> bytes:
+    async def _handle_relayed(self, data: bytes) -> bytes:
         return (await self.answer(RelayedRequest.decode(data))).encode()
 
-    async def _tell_leader(self, data: bytes) -> bytes:
+    async def _handle_leader_query(self, data: bytes) -> bytes:
         members = sorted({daemon_of(member) for member in self.member.configuration.members})
         leads = self.conductor is not None and self.conductor.leadership.may_order()
         answer = {"leads": leads, "leader": self.member.leader_daemon, "members": members}
         return json.dumps(answer).encode()
 
-    async def _tell_stopping(self, host: str) -> None:
+    async def _send_stop_notice(self, host: str) -> None:
         data = self.member.member_id.encode()
         try:
             await self.directory.client(host).exchange(
-                topic=STOPPING, data=data, timeout_s=STOPPING_TIMEOUT_S
+                topic=STOPPING, data=data, timeout_s=STOP_NOTICE_TIMEOUT_S
             )
         except PeerUnreachableError as error:
             log_event(Event.LEADER_MISSING, reason=f"cannot tell that this node stops: {error}")
 
-    async def _take_stopping(self, data: bytes) -> bytes:
+    async def _handle_stop_notice(self, data: bytes) -> bytes:
         """Takes in that the leader has given up, so that nobody waits for its silence."""
         if self.member.leader_id == data.decode():
             self.member.leader_id = ""
@@ -269,9 +273,9 @@
             self.member.leader_suspicion.start()
         return b""
 
-    async def _take_joiner(self, data: bytes) -> bytes:
+    async def _handle_join(self, data: bytes) -> bytes:
         if self.member.is_leader:
-            self.keeper.take_joiner(data.decode())
+            self.membership_manager.record_join_request(data.decode())
         return b""
 
 
--- a/src/hyssopway/node/group_keeper.py
+++ b/src/hyssopway/node/membership_manager.py
@@ -9,18 +9,18 @@
 
 from hyssopway.event import Event, log_event
 
-from .group_policy import MemberView, choose_change
+from .membership_policy import MemberStatus, choose_membership_change
 
 if TYPE_CHECKING:
     from hyssopway.agreement import Member
 
-STEP_S = 0.25
+CHECK_INTERVAL_S = 0.25
 CHANGE_TIMEOUT_S = 3.0
-JOINER_S = 3.0
-MAX_LAG = 100
+JOIN_REQUEST_TTL_S = 3.0
+MAX_PROMOTION_LAG = 100
 
 
-class GroupKeeper:
+class MembershipManager:
     """Adds, promotes and removes members while this node leads.
 
     Attributes:
@@ -29,48 +29,50 @@
         joiners: Local time at which each member last asked to join.
     """
 
-    __slots__ = ("joiners", "led_since", "member", "wanted_voters")
+    __slots__ = ("join_requests", "leading_since", "member", "target_voters")
 
     def __init__(self, *, member: Member, tolerated_losses: int) -> None:
         self.member = member
-        self.wanted_voters = 2 * tolerated_losses + 1
-        self.joiners: dict[str, float] = {}
-        self.led_since = float("inf")
+        self.target_voters = 2 * tolerated_losses + 1
+        self.join_requests: dict[str, float] = {}
+        self.leading_since = float("inf")
 
-    def take_joiner(self, member_id: str) -> None:
+    def record_join_request(self, member_id: str) -> None:
         """Takes in that a member asks to join."""
-        if member_id not in self.joiners and member_id not in self.member.configuration.members:
+        if member_id not in self.join_requests and member_id not in self.member.configuration.members:
             log_event(Event.MEMBER_JOINS, member=member_id)
-        self.joiners[member_id] = self.member.clock()
+        self.join_requests[member_id] = self.member.clock()
 
     async def run(self) -> None:
         """Makes one change after another for as long as the node runs."""
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             if not self.member.is_leader:
-                self.led_since = float("inf")
+                self.leading_since = float("inf")
                 continue
-            self.led_since = min(self.led_since, self.member.clock())
-            await self._step()
+            self.leading_since = min(self.leading_since, self.member.clock())
+            await self._apply_next_change()
 
-    async def _step(self) -> None:
+    async def _apply_next_change(self) -> None:
         member = self.member
         now = member.clock()
-        self.joiners = {key: at for key, at in self.joiners.items() if now - at < JOINER_S}
-        views = {
-            key: MemberView(
+        self.join_requests = {
+            key: at for key, at in self.join_requests.items() if now - at < JOIN_REQUEST_TTL_S
+        }
+        statuses = {
+            key: MemberStatus(
                 # Silence counts from the start of the term, since a new leader has heard nobody.
-                silent_s=now - max(progress.acked_at, self.led_since),
+                silent_s=now - max(progress.acked_at, self.leading_since),
                 lag=member.commit_index - progress.match_index,
             )
             for key, progress in member.progress.items()
         }
-        change = choose_change(
+        change = choose_membership_change(
             configuration=member.configuration,
-            joiners=sorted(self.joiners),
-            views=views,
-            wanted_voters=self.wanted_voters,
-            max_lag=MAX_LAG,
+            joining_ids=sorted(self.join_requests),
+            statuses=statuses,
+            target_voters=self.target_voters,
+            max_lag=MAX_PROMOTION_LAG,
         )
         if change is None:
             return
@@ -81,4 +83,4 @@
                 log_event(Event.MEMBER_CHANGED, change=change, result=failure.message)
 
 
-__all__ = ["GroupKeeper"]
+__all__ = ["MembershipManager"]
--- a/src/hyssopway/node/group_policy.py
+++ b/src/hyssopway/node/membership_policy.py
@@ -17,13 +17,13 @@
     from hyssopway.agreement import Configuration, MemberChange
 
 # Longer than a restart; a voter that is replaced too early costs only a snapshot.
-REPLACE_SILENT_S = 3.0
-FORGET_LEARNER_S = 30.0
-ACTIVE_S = 1.0
+REPLACE_AFTER_SILENCE_S = 3.0
+REMOVE_LEARNER_AFTER_SILENCE_S = 30.0
+MAX_SILENCE_FOR_PROMOTION_S = 1.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class MemberView:
+class MemberStatus:
     """A member as the leader sees it.
 
     Attributes:
@@ -35,46 +35,50 @@
     lag: int
 
 
-def choose_change(
+def choose_membership_change(
     *,
     configuration: Configuration,
-    joiners: list[str],
-    views: dict[str, MemberView],
-    wanted_voters: int,
+    joining_ids: list[str],
+    statuses: dict[str, MemberStatus],
+    target_voters: int,
     max_lag: int,
 ) -> MemberChange | None:
     """Returns the next change of the group, or None when it is as wanted.
 
     Args:
-        configuration: Present members.
-        joiners: Ids of members that asked to join a moment ago.
-        views: Other members as the leader sees them.
-        wanted_voters: Number of voters that tolerates the losses.
-        max_lag: Most entries that a learner may lack when it gets a vote.
+        configuration: Current voters and learners.
+        joining_ids: Ids of members that recently requested to join.
+        statuses: Status of the other members by id.
+        target_voters: Number of voters that tolerates the configured losses.
+        max_lag: Maximum number of entries that a learner may lack when it is promoted.
     """
-    for joiner in joiners:
+    for joining_id in joining_ids:
         for member in configuration.members:
-            if daemon_of(member) == daemon_of(joiner) and member != joiner:
+            if daemon_of(member) == daemon_of(joining_id) and member != joining_id:
                 return RemoveMember(member_id=member)
-    for joiner in joiners:
-        if joiner not in configuration.members:
-            return AddLearner(member_id=joiner)
+    for joining_id in joining_ids:
+        if joining_id not in configuration.members:
+            return AddLearner(member_id=joining_id)
     silent = [
-        voter for voter in configuration.voters if voter in views and views[voter].silent_s > REPLACE_SILENT_S
+        voter
+        for voter in configuration.voters
+        if voter in statuses and statuses[voter].silent_s > REPLACE_AFTER_SILENCE_S
     ]
-    if silent and len(configuration.voters) > wanted_voters:
+    if silent and len(configuration.voters) > target_voters:
         return RemoveMember(member_id=silent[0])
-    able = [
+    promotable = [
         learner
         for learner in configuration.learners
-        if learner in views and views[learner].silent_s < ACTIVE_S and views[learner].lag <= max_lag
+        if learner in statuses
+        and statuses[learner].silent_s < MAX_SILENCE_FOR_PROMOTION_S
+        and statuses[learner].lag <= max_lag
     ]
-    if able and (silent or len(configuration.voters) < wanted_voters):
-        return PromoteLearner(member_id=able[0])
+    if promotable and (silent or len(configuration.voters) < target_voters):
+        return PromoteLearner(member_id=promotable[0])
     for learner in configuration.learners:
-        if learner in views and views[learner].silent_s > FORGET_LEARNER_S:
+        if learner in statuses and statuses[learner].silent_s > REMOVE_LEARNER_AFTER_SILENCE_S:
             return RemoveMember(member_id=learner)
     return None
 
 
-__all__ = ["MemberView", "choose_change"]
+__all__ = ["MemberStatus", "choose_membership_change"]
--- a/tests/node/test_group_policy.py
+++ b/tests/node/test_membership_policy.py
@@ -5,11 +5,16 @@
 import pytest
 
 from hyssopway.agreement import AddLearner, Configuration, PromoteLearner, RemoveMember
-from hyssopway.node.group_policy import FORGET_LEARNER_S, REPLACE_SILENT_S, MemberView, choose_change
+from hyssopway.node.membership_policy import (
+    REMOVE_LEARNER_AFTER_SILENCE_S,
+    REPLACE_AFTER_SILENCE_S,
+    MemberStatus,
+    choose_membership_change,
+)
 
-ACTIVE = MemberView(silent_s=0.1, lag=0)
-SILENT = MemberView(silent_s=REPLACE_SILENT_S + 1, lag=50)
-GONE = MemberView(silent_s=FORGET_LEARNER_S + 1, lag=50)
+ACTIVE = MemberStatus(silent_s=0.1, lag=0)
+SILENT = MemberStatus(silent_s=REPLACE_AFTER_SILENCE_S + 1, lag=50)
+GONE = MemberStatus(silent_s=REMOVE_LEARNER_AFTER_SILENCE_S + 1, lag=50)
 
 
 @pytest.mark.parametrize(
@@ -29,7 +34,12 @@
             id="too few voters",
         ),
         pytest.param(
-            "ab", "d", [], {"b/0": ACTIVE, "d/0": MemberView(silent_s=0.1, lag=500)}, None, id="learner lags"
+            "ab",
+            "d",
+            [],
+            {"b/0": ACTIVE, "d/0": MemberStatus(silent_s=0.1, lag=500)},
+            None,
+            id="learner lags",
         ),
         pytest.param(
             "abc",
@@ -65,7 +75,7 @@
     configuration = Configuration(
         voters=tuple(f"{name}/0" for name in voters), learners=tuple(f"{name}/0" for name in learners)
     )
-    change = choose_change(
-        configuration=configuration, joiners=joiners, views=views, wanted_voters=3, max_lag=100
+    change = choose_membership_change(
+        configuration=configuration, joining_ids=joiners, statuses=views, target_voters=3, max_lag=100
     )
     assert change == expected
