--- a/src/hyssopway/node/__init__.py
+++ b/src/hyssopway/node/__init__.py
@@ -1,4 +1,4 @@
-"""Control nodes that find each other from a few seeds."""
+"""Control nodes, which discover each other through seed hosts."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/node/control_handlers.py
+++ b/src/hyssopway/node/control_handlers.py
@@ -1,4 +1,4 @@
-"""Answers calls of other nodes on a control node."""
+"""Handlers for calls of other nodes to a control node."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 class ControlHandlers:
-    """Implements `PeerHandlers` with the calls that a control node serves.
+    """Implements `PeerHandlers` with the calls that a control node supports.
 
     Attributes:
-        member: Own member.
-        exchanges: Answers to exchanges by topic.
-        parts: Snapshot of a leader while it arrives.
+        member: Member of this node.
+        exchange_handlers: Handlers of exchange calls by topic.
+        assembler: Assembles a snapshot that the leader sends in chunks.
     """
 
     __slots__ = ("assembler", "exchange_handlers", "member")
@@ -53,55 +53,55 @@
         self.assembler = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
-        """Doubts the leader when its connection ends: its process may have ended with it."""
+        """Suspects the leader when its connection is lost, because its process may have ended."""
         if daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
 
     async def vote(self, request: VoteRequest) -> VoteReply:
-        """Answers a vote request."""
+        """Handles a vote request."""
         return await run_to_completion(answer_vote(member=self.member, request=request))
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Takes entries of a leader."""
+        """Handles entries or a heartbeat from a leader."""
         return await run_to_completion(answer_append(member=self.member, request=request))
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
-        """Takes a part of a snapshot."""
+        """Handles a snapshot chunk from a leader."""
         return await run_to_completion(
             answer_snapshot(member=self.member, assembler=self.assembler, chunk=chunk)
         )
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
-        """Answers an exchange."""
+        """Handles an exchange call."""
         return await self.exchange_handlers[topic](data)
 
     async def propose(self, command: bytes) -> ProposeReply:
-        """Is not served: requests are relayed instead."""
+        """Not supported: requests are relayed to the leader instead."""
         _refuse("propose")
 
     async def confirm(self, daemon: str) -> ConfirmReply:
-        """Is not served: nodes without a log hold no replica."""
+        """Not supported: nodes without a log keep no replica."""
         _refuse("confirm")
 
     async def watch(self, *, daemon: str, from_index: int, wait_s: float) -> WatchReply:
-        """Is not served: nodes without a log hold no replica."""
+        """Not supported: nodes without a log keep no replica."""
         _refuse("watch")
 
     async def read_snapshot(self, *, offset: int) -> SnapshotPart:
-        """Is not served: nodes without a log hold no replica."""
+        """Not supported: nodes without a log keep no replica."""
         _refuse("read_snapshot")
 
     async def credits(self, request: CreditRequest) -> CreditReply:
-        """Is not served: workers are ordered by the leader."""
+        """Not supported: the leader sends orders to workers directly."""
         _refuse("credits")
 
     async def held_credits(self, *, daemon: str, endpoint: str) -> list[Credit]:
-        """Is not served: workers are ordered by the leader."""
+        """Not supported: the leader sends orders to workers directly."""
         _refuse("held_credits")
 
 
 def _refuse(call: str) -> NoReturn:
-    raise NotImplementedError(f"{call} is not served by this kind of node")
+    raise NotImplementedError(f"{call} is not supported by control nodes")
 
 
 __all__ = ["ControlHandlers"]
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -1,4 +1,4 @@
-"""A node with a disk: a member of the group, and the place of all decisions while it leads."""
+"""A node with a disk: a member of the Raft group that runs all control work of the deployment while it leads."""
 
 from __future__ import annotations
 
@@ -50,24 +50,27 @@
 ASSUME_REMOVED_AFTER_S = 2.0
 STOP_NOTICE_TIMEOUT_S = 0.3
 SNAPSHOT_ENTRIES = 5000
-# Control nodes of one deployment are about a millisecond apart; the shortest silence stays above the age up to which
-# a leader may order (`dispatch.leadership`).
+# Control nodes of a deployment are about a millisecond apart, which allows short timeouts. The shortest election
+# timeout must stay above the age of a confirmation up to which a leader may send orders (`dispatch.leadership`).
 TIMERS = Timers(heartbeat_s=0.08, election_min_s=0.45, election_max_s=0.8)
 
 
 class ControlNode:
-    """Member, leader's decisions and answers to other nodes.
+    """Runs the member, the work of the leader and the server for other nodes.
 
     Attributes:
         settings: Settings of the node.
-        directory: Clients of other nodes.
-        state: Agreed state.
-        member: Own member.
-        finder: Knows the leader.
-        relay: Passes requests to the leader.
-        service: Answers requests while this node leads.
-        new_conductor: Builds the decisions of a term.
-        conductor: Decisions of the present term; None while this node does not lead.
+        directory: Clients of the other nodes.
+        state: Replicated state.
+        member: Member of this node.
+        finder: Finds the current leader.
+        relay: Forwards requests to the leader.
+        membership_manager: Changes the members of the group while this node leads.
+        service: Handles requests while this node leads.
+        new_conductor: Creates the conductor of a term.
+        conductor: Runs the work of the leader in the current term; None while this node does not lead.
+        peer_server: Server for calls of other nodes.
+        tasks: Background tasks.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         new_conductor: Callable[[Leadership], Conductor],
     ) -> None:
         if settings.data_dir is None:
-            raise ValueError("a control node needs a data folder")
+            raise ValueError("a control node requires data_dir")
         self.settings = settings
         self.service = service
         self.new_conductor = new_conductor
@@ -114,7 +117,7 @@
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Opens durable state, listens to other nodes and starts all tasks."""
+        """Opens durable state, starts the server for other nodes and starts all background tasks."""
         initial = None
         if self.settings.is_first_start and self.settings.host in self.settings.seed_hosts:
             voters = tuple(f"{host}/0" for host in sorted(self.settings.seed_hosts))
@@ -137,17 +140,17 @@
         ]
 
     async def resign_leadership(self) -> None:
-        """Gives up the lead, if this node has it, and lets the others elect a leader at once."""
+        """Steps down if this node leads, and notifies the other voters so that they elect a leader at once."""
         member = self.member
         if not member.is_leader:
             return
         member.suspend_candidacy()
-        member.step_down(reason="the node stops")
+        member.step_down(reason="the node is stopping")
         others = [daemon_of(voter) for voter in member.configuration.voters if voter != member.member_id]
         await asyncio.gather(*(self._send_stop_notice(other) for other in others))
 
     async def stop(self) -> None:
-        """Stops all tasks and closes durable state."""
+        """Stops all background tasks and closes durable state."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -156,7 +159,7 @@
         await self.member.stop()
 
     def read_gauges(self) -> dict[str, float]:
-        """Returns present values for metrics and dumps."""
+        """Returns the current gauge values for metrics and dumps."""
         member, tables = self.member, self.state.tables
         conductor = self.conductor
         now = member.clock()
@@ -178,7 +181,7 @@
         }
 
     async def answer(self, request: RelayedRequest) -> RelayedReply:
-        """Answers a request here if this node leads; the status is 0 when it does not."""
+        """Handles a request if this node leads; otherwise returns status 0 and the leader, if known."""
         conductor = self.conductor
         if conductor is None:
             return RelayedReply(status=0, leader=self.member.leader_daemon)
@@ -193,7 +196,7 @@
             return RelayedReply(status=500)
 
     async def serve(self, request: RelayedRequest, *, timeout_s: float) -> RelayedReply:
-        """Answers a request that arrived at this node, here or through the leader.
+        """Handles a request that arrived at this node, or forwards it to the leader.
 
         Raises:
             UnansweredError: No leader answered in time.
@@ -225,10 +228,10 @@
                 self.conductor = None
 
     async def _join_group(self) -> None:
-        """Asks to join for as long as the group does not hold this member."""
+        """Requests to join whenever this member is not part of the group."""
         while True:
             member = self.member
-            # A member that was removed while it was down still has its old configuration; it hears no leader.
+            # A member that was removed while it was down still has its old configuration but hears no leader.
             is_probably_removed = (
                 not member.is_leader and member.clock() - member.heard_at > ASSUME_REMOVED_AFTER_S
             )
@@ -245,7 +248,7 @@
                 topic=JOIN, data=self.member.member_id.encode(), timeout_s=JOIN_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            log_event(Event.LEADER_MISSING, reason=f"cannot ask to join: {error}")
+            log_event(Event.LEADER_MISSING, reason=f"cannot send a join request: {error}")
 
     async def _handle_relayed(self, data: bytes) -> bytes:
         return (await self.answer(RelayedRequest.decode(data))).encode()
@@ -263,10 +266,10 @@
                 topic=STOPPING, data=data, timeout_s=STOP_NOTICE_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            log_event(Event.LEADER_MISSING, reason=f"cannot tell that this node stops: {error}")
+            log_event(Event.LEADER_MISSING, reason=f"cannot send a stop notice: {error}")
 
     async def _handle_stop_notice(self, data: bytes) -> bytes:
-        """Takes in that the leader has given up, so that nobody waits for its silence."""
+        """Handles the stop notice of a leader by suspecting it at once, without waiting for `doubt_s`."""
         if self.member.leader_id == data.decode():
             self.member.leader_id = ""
             self.member.heard_at = float("-inf")
--- a/src/hyssopway/node/membership_manager.py
+++ b/src/hyssopway/node/membership_manager.py
@@ -1,4 +1,4 @@
-"""Keeps the group of control members as it should be, on the leader."""
+"""Adjusts the members of the group while this node leads."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
     """Adds, promotes and removes members while this node leads.
 
     Attributes:
-        member: Own member.
-        wanted_voters: Number of voters that tolerates the losses.
-        joiners: Local time at which each member last asked to join.
+        member: Member of this node.
+        target_voters: Number of voters that tolerates the configured losses.
+        join_requests: Local time of the last join request by member id.
+        leading_since: Local time since which this node leads; infinity while it does not.
     """
 
     __slots__ = ("join_requests", "leading_since", "member", "target_voters")
@@ -38,13 +39,13 @@
         self.leading_since = float("inf")
 
     def record_join_request(self, member_id: str) -> None:
-        """Takes in that a member asks to join."""
+        """Records that a member requests to join."""
         if member_id not in self.join_requests and member_id not in self.member.configuration.members:
             log_event(Event.MEMBER_JOINS, member=member_id)
         self.join_requests[member_id] = self.member.clock()
 
     async def run(self) -> None:
-        """Makes one change after another for as long as the node runs."""
+        """Makes one membership change at a time, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
             if not self.member.is_leader:
@@ -61,7 +62,7 @@
         }
         statuses = {
             key: MemberStatus(
-                # Silence counts from the start of the term, since a new leader has heard nobody.
+                # Silence is counted from the start of the term because a new leader has no earlier replies.
                 silent_s=now - max(progress.acked_at, self.leading_since),
                 lag=member.commit_index - progress.match_index,
             )
--- a/src/hyssopway/node/membership_policy.py
+++ b/src/hyssopway/node/membership_policy.py
@@ -1,9 +1,8 @@
-"""Decides how the group of control members changes.
+"""Policy for changes of the members of the group.
 
-Answers the load pattern of disks that are lost one after another, of control nodes that are replaced at other
-addresses and of nodes that are cut off for a while: a member whose disk is known to be lost is removed first,
-a learner that is up to date takes the place of a voter that is silent, and the group has as many voters as the
-tolerated losses need.
+Handles disks that are lost one after another, control nodes that are replaced under other addresses, and nodes that
+are partitioned for a while: a member whose disk is known to be lost is removed first, an up-to-date learner replaces a
+silent voter, and the group keeps as many voters as are needed to tolerate the configured losses.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 if TYPE_CHECKING:
     from hyssopway.agreement import Configuration, MemberChange
 
-# Longer than a restart; a voter that is replaced too early costs only a snapshot.
+# Longer than a restart; a voter that is replaced too early only costs the transfer of a snapshot.
 REPLACE_AFTER_SILENCE_S = 3.0
 REMOVE_LEARNER_AFTER_SILENCE_S = 30.0
 MAX_SILENCE_FOR_PROMOTION_S = 1.0
@@ -24,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberStatus:
-    """A member as the leader sees it.
+    """Status of a member as seen by the leader.
 
     Attributes:
-        silent_s: Time since its last answer.
-        lag: Entries that it lacks.
+        silent_s: Seconds since its last reply.
+        lag: Number of committed entries that it lacks.
     """
 
     silent_s: float
@@ -43,7 +42,7 @@
     target_voters: int,
     max_lag: int,
 ) -> MemberChange | None:
-    """Returns the next change of the group, or None when it is as wanted.
+    """Returns the next change of the members, or None if none is needed.
 
     Args:
         configuration: Current voters and learners.
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -1,4 +1,4 @@
-"""Dump of the state of one control node."""
+"""Diagnostic dump of the state of a control node."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def dump_control_node(node: ControlNode) -> dict[str, Any]:
-    """Returns everything that one control node knows, without the keys of teams."""
+    """Returns the whole state of a control node, without the keys of teams."""
     return {
         "gauges": node.read_gauges(),
         "agreement": dump_member(node.member),
--- a/src/hyssopway/node/request_service.py
+++ b/src/hyssopway/node/request_service.py
@@ -1,4 +1,4 @@
-"""Answers requests on the leader."""
+"""Interface of the service that handles requests on the leader."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class RequestService(Protocol):
-    """What the leader does with a request, in the protocol of the deployment."""
+    """Handles requests on the leader in the protocol of the deployment."""
 
     async def answer(self, *, request: RelayedRequest, conductor: Conductor) -> RelayedReply:
-        """Answers a request.
+        """Handles a request.
 
         Raises:
-            LeadershipLostError: The outcome is unknown; the request may be sent again to the next leader.
+            LeadershipLostError: The outcome is unknown; the request may be retried on the next leader.
         """
         ...
 
--- a/tests/node/test_control_nodes.py
+++ b/tests/node/test_control_nodes.py
@@ -1,4 +1,4 @@
-"""Control nodes as one group, in one process, on loopback addresses."""
+"""A group of control nodes in one process, on loopback addresses."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ZoneService:
-    """Agrees on one change for each request."""
+    """A service that commits one change for each request."""
 
     async def answer(self, *, request, conductor):
         await conductor.leadership.propose(SetZoneEvacuated(zone="nashua", evacuated=True))
@@ -32,14 +32,14 @@
 
 
 class StateService:
-    """Answers from the state alone."""
+    """A service that answers without a proposal."""
 
     async def answer(self, *, request, conductor):
         return RelayedReply(status=200)
 
 
 class NoMachines:
-    """A platform without machines."""
+    """A machine API that lists no machines."""
 
     async def list_machines(self):
         return []
@@ -95,14 +95,14 @@
 
 
 async def test_request_to_any_node_is_agreed_on_all(group):
-    """Guards against a node that cannot reach the leader, and against members that do not follow."""
+    """Guards against a node that cannot forward a request to the leader, and against members that do not replicate it."""
     for node in group:
         assert (await node.serve(REQUEST, timeout_s=5.0)).status == 200
     await wait_until(lambda: all("nashua" in node.state.tables.evacuated for node in group))
 
 
 async def test_leader_that_nobody_confirms_answers_nothing_from_its_state(group, monkeypatch):
-    """Guards against a leader that was paused and answers by keys and jobs of before the pause."""
+    """Guards against a leader that answers from stale keys and jobs after its process was paused."""
     (old,) = leaders(group)
     old.service = StateService()
     assert (await old.answer(REQUEST)).status == 200
@@ -116,7 +116,7 @@
 
 
 async def test_dump_tells_the_whole_state_without_keys(group):
-    """Guards against a dump that cannot be written, says little, or hands out the keys of teams."""
+    """Guards against a dump that cannot be encoded, is incomplete, or discloses the keys of teams."""
     (leader,) = leaders(group)
     await leader.conductor.leadership.propose(PutDocument(document=make_document()))
     await leader.conductor.leadership.propose(make_vm("vm-1"))
@@ -132,7 +132,7 @@
 
 
 async def test_lead_is_handed_over_without_waiting_for_silence(group):
-    """Guards against a planned stop that leaves everyone without a leader for an election timeout."""
+    """Guards against a planned stop after which there is no leader for an election timeout."""
     (old,) = leaders(group)
     await old.resign_leadership()
     others = [node for node in group if node is not old]
@@ -142,14 +142,14 @@
 
 
 async def test_node_with_a_lost_disk_joins_again_as_another_member(group, tmp_path):
-    """Guards against a vote of a member whose disk was lost."""
+    """Guards against a node with an empty disk that votes under its former member id."""
     (leader,) = leaders(group)
     lost = next(node for node in group if node is not leader)
     old_id = lost.member.member_id
     await lost.stop()
     group.remove(lost)
     for node in group:
-        # The end of a process would end its connections.
+        # In a real stop, the connections would end with the process.
         node.directory.client(lost.settings.host).close()
     fresh = build(
         lost.settings.host, port=lost.settings.peer_port, folder=tmp_path / "new", is_first_start=False
--- a/tests/node/test_membership_policy.py
+++ b/tests/node/test_membership_policy.py
@@ -1,4 +1,4 @@
-"""Changes of the group of control members."""
+"""Policy for changes of the members of the group."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
     ],
 )
 def test_change(voters, learners, joiners, views, expected):
-    """Guards against a group that loses its tolerance for longer than needed."""
+    """Guards against a group that tolerates fewer losses than configured for longer than necessary."""
     configuration = Configuration(
         voters=tuple(f"{name}/0" for name in voters), learners=tuple(f"{name}/0" for name in learners)
     )
