--- a/src/hyssopway/node/membership_manager.py
+++ b/src/hyssopway/node/membership_manager.py
@@ -25,16 +25,16 @@
 
     Attributes:
         member: Member of this node.
-        target_voters: Number of voters that tolerates the configured losses.
+        wanted_voters: Number of voters that tolerates the losses.
         join_requests: Local time of the last join request by member id.
         leading_since: Local time since which this node leads; infinity while it does not.
     """
 
-    __slots__ = ("join_requests", "leading_since", "member", "target_voters")
+    __slots__ = ("join_requests", "leading_since", "member", "wanted_voters")
 
     def __init__(self, *, member: Member, tolerated_losses: int) -> None:
         self.member = member
-        self.target_voters = 2 * tolerated_losses + 1
+        self.wanted_voters = 2 * tolerated_losses + 1
         self.join_requests: dict[str, float] = {}
         self.leading_since = float("inf")
 
@@ -60,7 +60,7 @@
         self.join_requests = {
             key: at for key, at in self.join_requests.items() if now - at < JOIN_REQUEST_TTL_S
         }
-        statuses = {
+        views = {
             key: MemberStatus(
                 # Silence is counted from the start of the term because a new leader has no earlier replies.
                 silent_s=now - max(progress.acked_at, self.leading_since),
@@ -70,9 +70,9 @@
         }
         change = choose_membership_change(
             configuration=member.configuration,
-            joining_ids=sorted(self.join_requests),
-            statuses=statuses,
-            target_voters=self.target_voters,
+            joiners=sorted(self.join_requests),
+            views=views,
+            wanted_voters=self.wanted_voters,
             max_lag=MAX_PROMOTION_LAG,
         )
         if change is None:
--- a/src/hyssopway/node/membership_policy.py
+++ b/src/hyssopway/node/membership_policy.py
@@ -37,45 +37,45 @@
 def choose_membership_change(
     *,
     configuration: Configuration,
-    joining_ids: list[str],
-    statuses: dict[str, MemberStatus],
-    target_voters: int,
+    joiners: list[str],
+    views: dict[str, MemberStatus],
+    wanted_voters: int,
     max_lag: int,
 ) -> MemberChange | None:
     """Returns the next change of the members, or None if none is needed.
 
     Args:
         configuration: Current voters and learners.
-        joining_ids: Ids of members that recently requested to join.
-        statuses: Status of the other members by id.
-        target_voters: Number of voters that tolerates the configured losses.
-        max_lag: Maximum number of entries that a learner may lack when it is promoted.
+        joiners: Ids of members that recently requested to join.
+        views: Status of the other members by id.
+        wanted_voters: Number of voters that tolerates the losses.
+        max_lag: Most entries that a learner may lack when it gets a vote.
     """
-    for joining_id in joining_ids:
+    for joiner in joiners:
         for member in configuration.members:
-            if daemon_of(member) == daemon_of(joining_id) and member != joining_id:
+            if daemon_of(member) == daemon_of(joiner) and member != joiner:
                 return RemoveMember(member_id=member)
-    for joining_id in joining_ids:
-        if joining_id not in configuration.members:
-            return AddLearner(member_id=joining_id)
+    for joiner in joiners:
+        if joiner not in configuration.members:
+            return AddLearner(member_id=joiner)
     silent = [
         voter
         for voter in configuration.voters
-        if voter in statuses and statuses[voter].silent_s > REPLACE_AFTER_SILENCE_S
+        if voter in views and views[voter].silent_s > REPLACE_AFTER_SILENCE_S
     ]
-    if silent and len(configuration.voters) > target_voters:
+    if silent and len(configuration.voters) > wanted_voters:
         return RemoveMember(member_id=silent[0])
     promotable = [
         learner
         for learner in configuration.learners
-        if learner in statuses
-        and statuses[learner].silent_s < MAX_SILENCE_FOR_PROMOTION_S
-        and statuses[learner].lag <= max_lag
+        if learner in views
+        and views[learner].silent_s < MAX_SILENCE_FOR_PROMOTION_S
+        and views[learner].lag <= max_lag
     ]
-    if promotable and (silent or len(configuration.voters) < target_voters):
+    if promotable and (silent or len(configuration.voters) < wanted_voters):
         return PromoteLearner(member_id=promotable[0])
     for learner in configuration.learners:
-        if learner in statuses and statuses[learner].silent_s > REMOVE_LEARNER_AFTER_SILENCE_S:
+        if learner in views and views[learner].silent_s > REMOVE_LEARNER_AFTER_SILENCE_S:
             return RemoveMember(member_id=learner)
     return None
 
--- a/tests/node/test_membership_policy.py
+++ b/tests/node/test_membership_policy.py
@@ -76,6 +76,6 @@
         voters=tuple(f"{name}/0" for name in voters), learners=tuple(f"{name}/0" for name in learners)
     )
     change = choose_membership_change(
-        configuration=configuration, joining_ids=joiners, statuses=views, target_voters=3, max_lag=100
+        configuration=configuration, joiners=joiners, views=views, wanted_voters=3, max_lag=100
     )
     assert change == expected
