--- a/tests/node/test_control_nodes.py
+++ b/tests/node/test_control_nodes.py
@@ -51,7 +51,7 @@
         return probe.getsockname()[1]
 
 
-def build(host, *, port, folder, is_first_start=True):
+def build_node(host, *, port, folder, is_first_start=True):
     settings = NodeSettings(
         name=host,
         host=host,
@@ -85,7 +85,7 @@
 async def group(tmp_path):
     async with capnp.kj_loop():
         port = find_port()
-        nodes = [build(host, port=port, folder=tmp_path) for host in HOSTS]
+        nodes = [build_node(host, port=port, folder=tmp_path) for host in HOSTS]
         for node in nodes:
             await node.start()
         await wait_until(lambda: len(leaders(nodes)) == 1)
@@ -94,8 +94,8 @@
             await node.stop()
 
 
-async def test_request_to_any_node_is_agreed_on_all(group):
-    """Guards against a node that cannot forward a request to the leader, and against members that do not replicate it."""
+async def test_request_to_any_node_is_replicated_to_all(group):
+    """Guards against a node that cannot reach the leader, and against members that do not apply its changes."""
     for node in group:
         assert (await node.serve(REQUEST, timeout_s=5.0)).status == 200
     await wait_until(lambda: all("nashua" in node.state.tables.evacuated for node in group))
@@ -115,7 +115,7 @@
     assert (await old.answer(REQUEST)).status == 0
 
 
-async def test_dump_tells_the_whole_state_without_keys(group):
+async def test_dump_holds_the_whole_state_without_keys(group):
     """Guards against a dump that cannot be encoded, is incomplete, or discloses the keys of teams."""
     (leader,) = leaders(group)
     await leader.conductor.leadership.propose(PutDocument(document=make_document()))
@@ -131,7 +131,7 @@
         assert len(read["agreement"]["configuration"]["voters"]) == len(HOSTS)
 
 
-async def test_lead_is_handed_over_without_waiting_for_silence(group):
+async def test_resigning_leader_is_replaced_before_the_election_timeout(group):
     """Guards against a planned stop after which there is no leader for an election timeout."""
     (old,) = leaders(group)
     await old.resign_leadership()
@@ -141,7 +141,7 @@
     assert (await old.serve(REQUEST, timeout_s=5.0)).status == 200
 
 
-async def test_node_with_a_lost_disk_joins_again_as_another_member(group, tmp_path):
+async def test_node_that_lost_its_disk_joins_under_a_new_member_id(group, tmp_path):
     """Guards against a node with an empty disk that votes under its former member id."""
     (leader,) = leaders(group)
     lost = next(node for node in group if node is not leader)
@@ -151,7 +151,7 @@
     for node in group:
         # In a real stop, the connections would end with the process.
         node.directory.client(lost.settings.host).close()
-    fresh = build(
+    fresh = build_node(
         lost.settings.host, port=lost.settings.peer_port, folder=tmp_path / "new", is_first_start=False
     )
     await fresh.start()
--- a/tests/node/test_membership_policy.py
+++ b/tests/node/test_membership_policy.py
@@ -70,7 +70,7 @@
         ),
     ],
 )
-def test_change(voters, learners, joiners, views, expected):
+def test_choose_membership_change(voters, learners, joiners, views, expected):
     """Guards against a group that tolerates fewer losses than configured for longer than necessary."""
     configuration = Configuration(
         voters=tuple(f"{name}/0" for name in voters), learners=tuple(f"{name}/0" for name in learners)
