--- a/src/hyssopway/dispatch/__init__.py
+++ b/src/hyssopway/dispatch/__init__.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from .advice_calls import AdviceCalls, AdviceError
-from .conductor import Conductor
-from .hold_reply import HoldReply
+from .leader_controller import LeaderController
 from .leadership import Leadership, LeadershipLostError
 from .listed_end import ListedEnd
+from .listed_run import ListedRun
 from .machine_calls import (
     Machine,
     MachineCallError,
@@ -16,17 +16,17 @@
 )
 from .order_reply import OrderReply, Refusal
 from .platform_limits import PlatformLimits
-from .running_row import RunningRow
+from .poll_reply import PollReply
 from .worker_calls import OtherBootError, WorkerCalls, WorkerUnreachableError
 
 __all__ = [
     "AdviceCalls",
     "AdviceError",
-    "Conductor",
-    "HoldReply",
+    "LeaderController",
     "Leadership",
     "LeadershipLostError",
     "ListedEnd",
+    "ListedRun",
     "Machine",
     "MachineCallError",
     "MachineCalls",
@@ -35,8 +35,8 @@
     "OrderReply",
     "OtherBootError",
     "PlatformLimits",
+    "PollReply",
     "Refusal",
-    "RunningRow",
     "WorkerCalls",
     "WorkerUnreachableError",
 ]
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -9,11 +9,11 @@
 from hyssopway.event import Event, log_event
 from hyssopway.workflow import EndRuns, RegisterVm, RunEnd, RunOutcome, TaskId
 
-from .lease import RUN_LEASE_S, VmLease, lease_end
-from .look_timing import LookTiming
-from .run_ends import end_all_runs
+from .lease import RUN_LEASE_S, VmLease, lease_expiry
+from .poll_timing import PollTiming
+from .run_ends import make_run_ends
 from .run_orders import RunOrders
-from .stall_watch import StallWatch
+from .stall_detector import StallDetector
 from .unlisted_runs import UnlistedRuns
 from .vm_pace import VmPace
 from .worker_calls import OtherBootError, WorkerUnreachableError
@@ -23,15 +23,15 @@
 
     from hyssopway.workflow import ActiveRun, VmRecord
 
-    from .answer_times import AnswerTimes
-    from .hold_reply import HoldReply
+    from .duration_scale import DurationScale
     from .leadership import Leadership
-    from .look_pacer import LookPacer
-    from .pace_memory import PaceMemory
+    from .listed_run import ListedRun
+    from .pace_history import PaceHistory
     from .platform_limits import PlatformLimits
-    from .running_row import RunningRow
+    from .poll_rate_limiter import PollRateLimiter
+    from .poll_reply import PollReply
+    from .rtt_estimator import RttEstimator
     from .ticket_cache import TicketCache
-    from .work_scale import WorkScale
     from .worker_calls import WorkerCalls
 
 RETRY_S = 0.2
@@ -41,7 +41,7 @@
 # A VM whose last answer is older gets no new starts; longer than a look that gets no answer.
 CONTACT_S = 1.3
 # A VM that neither answers nor announces itself for this long is forgotten.
-FORGET_S = 20.0
+REMOVE_AFTER_S = 20.0
 
 
 class VmLink:
@@ -54,18 +54,18 @@
         calls: Client of worker VMs.
         scale: Learns how far declared durations are off.
         on_change: Called when a decision may have become possible.
-        looks: Times of the looks at it.
-        pacer: Rate of the looks at all VMs.
+        polls: Times of the polls of it.
+        poll_limiter: Rate of the polls at all VMs.
         lease: Bound on the lease of its runs.
         orders: Orders of this term to it.
         pace: Pace of its tasks that fill.
-        is_fenced: Whether the VM answers, with the fencing token of this term.
-        fenced_at: Local time at which it first answered that token after a silence.
+        has_acked_term: Whether the VM answers, with the fencing token of this term.
+        term_acked_at: Local time at which it first answered that token after a silence.
         unlisted: Runs that it does not list.
         answered_at: Local time of its last answer.
         heard_at: Local time of its last answer or announcement.
-        stalls: Progress of its runs.
-        rows: Runs that it listed last, by key.
+        stall_detector: Progress of its runs.
+        listed_runs: Runs that it listed last, by key.
         failures: Runs that failed there in a row.
     """
 
@@ -74,19 +74,19 @@
         "boot",
         "calls",
         "failures",
-        "fenced_at",
+        "has_acked_term",
         "heard_at",
-        "is_fenced",
         "leadership",
         "lease",
-        "looks",
+        "listed_runs",
         "on_change",
         "orders",
         "pace",
-        "pacer",
-        "rows",
+        "poll_limiter",
+        "polls",
         "scale",
-        "stalls",
+        "stall_detector",
+        "term_acked_at",
         "unlisted",
         "vm_id",
     )
@@ -98,10 +98,10 @@
         leadership: Leadership,
         calls: WorkerCalls,
         limits: PlatformLimits,
-        scale: WorkScale,
-        pacer: LookPacer,
-        times: AnswerTimes,
-        pace_memory: PaceMemory,
+        scale: DurationScale,
+        poll_limiter: PollRateLimiter,
+        rtt_estimator: RttEstimator,
+        pace_memory: PaceHistory,
         tickets: TicketCache,
         on_change: Callable[[], None],
     ) -> None:
@@ -111,26 +111,31 @@
         self.calls = calls
         self.on_change = on_change
         self.scale = scale
-        self.pacer = pacer
-        self.stalls = StallWatch()
-        self.looks = LookTiming()
+        self.poll_limiter = poll_limiter
+        self.stall_detector = StallDetector()
+        self.polls = PollTiming()
         length_s = min(RUN_LEASE_S, limits.longest_lease_s)
-        granted_by_others = lease_end(granted_at=leadership.started_at, length_s=length_s)
-        self.lease = VmLease(length_s=length_s, ends_at=granted_by_others)
+        granted_by_others = lease_expiry(granted_at=leadership.started_at, length_s=length_s)
+        self.lease = VmLease(length_s=length_s, expires_at=granted_by_others)
         self.orders = RunOrders(
-            vm_id=vm_id, leadership=leadership, calls=calls, lease=self.lease, times=times, tickets=tickets
+            vm_id=vm_id,
+            leadership=leadership,
+            calls=calls,
+            lease=self.lease,
+            rtt_estimator=rtt_estimator,
+            tickets=tickets,
         )
         self.pace = VmPace(
-            leadership=leadership, orders=self.orders, memory=pace_memory, pacing_s=limits.pacing_s
+            leadership=leadership, orders=self.orders, history=pace_memory, pacing_s=limits.pacing_s
         )
         self.unlisted = UnlistedRuns(
             leadership=leadership, orders=self.orders, stop_s=limits.stop_s + STOP_SLACK_S
         )
-        self.is_fenced = False
-        self.fenced_at = float("inf")
+        self.has_acked_term = False
+        self.term_acked_at = float("inf")
         self.answered_at = float("-inf")
         self.heard_at = leadership.clock()
-        self.rows: dict[str, RunningRow] = {}
+        self.listed_runs: dict[str, ListedRun] = {}
         self.failures = 0
 
     @property
@@ -140,30 +145,30 @@
 
     def in_contact(self, now: float) -> bool:
         """Tells whether orders to the VM are likely to arrive."""
-        return self.is_fenced and now - self.answered_at <= CONTACT_S
+        return self.has_acked_term and now - self.answered_at <= CONTACT_S
 
     async def run(self) -> None:
         """Looks at the VM and renews its lease for as long as it is known."""
         while self.record is not None:
             if not self.leadership.may_order():
                 await asyncio.sleep(RETRY_S / 4)
-            elif not await self.look() and self.looks.lost != 1:
+            elif not await self.poll() and self.polls.lost != 1:
                 # The first look that is lost is repeated at once.
                 await asyncio.sleep(RETRY_S)
 
-    async def look(self) -> bool:
+    async def poll(self) -> bool:
         """Looks at the VM once and tells whether it answered."""
         record = self.record
         if record is None:
             return False
         try:
-            await self._hold(record)
+            await self._poll(record)
         except OtherBootError as error:
-            self.looks.note_answered()
+            self.polls.note_answered()
             await self._give_up_boot(record, reason=str(error))
             return False
         except WorkerUnreachableError as error:
-            self.looks.note_lost(now=self.leadership.clock())
+            self.polls.note_lost(now=self.leadership.clock())
             self._note_silence(record, reason=str(error))
             await self._conclude_lapsed(record)
             return False
@@ -179,50 +184,50 @@
         if end is not None:
             await self._end([end])
 
-    async def _hold(self, record: VmRecord) -> None:
+    async def _poll(self, record: VmRecord) -> None:
         if record.boot != self.boot:
             self._forget_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
-        times = self.looks.choose(now=sent_at, is_fenced=self.is_fenced)
-        reply = await self.calls.hold(
+        poll_times = self.polls.choose(now=sent_at, has_acked_term=self.has_acked_term)
+        reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
             last_end=record.last_end,
             # A VM that is silent gets no new lease: an unanswered look may have extended it.
-            lease_until_ms=self.lease.renew(now=sent_at) if self.is_fenced else None,
-            wait_ms=times.wait_ms,
-            timeout_s=times.timeout_s,
+            lease_until_ms=self.lease.renew(now=sent_at) if self.has_acked_term else None,
+            wait_ms=poll_times.wait_ms,
+            timeout_s=poll_times.timeout_s,
         )
-        self.looks.note_answered()
+        self.polls.note_answered()
         if reply.boot != record.boot:
             await self._take_new_boot(record, boot=reply.boot)
             return
         now = self.leadership.clock()
-        self.lease.take_reading(clock_ms=reply.clock_ms, now=now)
+        self.lease.record_clock(clock_ms=reply.clock_ms, now=now)
         self.answered_at = self.heard_at = now
-        if not self.is_fenced:
-            self.is_fenced = True
-            self.fenced_at = now
+        if not self.has_acked_term:
+            self.has_acked_term = True
+            self.term_acked_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
-        self.rows = {f"{row.task}/{row.run}": row for row in reply.running}
-        self.orders.note_listed(self.rows, now=now)
+        self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
+        self.orders.record_listed(self.listed_runs, now=now)
         self._stop_stalled(now)
-        self.pace.follow(self.rows, now=now)
+        self.pace.update(self.listed_runs, now=now)
         if reply.ends:
             await self._take_ends(record, reply=reply)
         await self._settle(record, reply=reply, sent_at=sent_at)
         self.on_change()
-        self.pacer.note_look(now=now)
-        if reply.ends and (pause_s := self.pacer.read_pause_s()):
+        self.poll_limiter.record_poll(now=now)
+        if reply.ends and (pause_s := self.poll_limiter.compute_pause_s()):
             await asyncio.sleep(pause_s)
 
-    async def _take_ends(self, record: VmRecord, *, reply: HoldReply) -> None:
+    async def _take_ends(self, record: VmRecord, *, reply: PollReply) -> None:
         for listed in reply.ends:
             end = listed.end
-            flight = self.orders.forget_run(f"{end.task}/{end.run}")
-            if end.outcome is RunOutcome.DONE and flight is not None:
-                self._learn(end, accepted_at=flight.accepted_at)
+            order_state = self.orders.forget_run(f"{end.task}/{end.run}")
+            if end.outcome is RunOutcome.DONE and order_state is not None:
+                self._learn(end, accepted_at=order_state.accepted_at)
             if end.outcome is RunOutcome.FAILED:
                 self.failures += 1
             elif end.outcome is RunOutcome.DONE:
@@ -234,11 +239,11 @@
 
     def _stop_stalled(self, now: float) -> None:
         workflows = self.leadership.state.tables.workflows
-        for row in self.stalls.find_stalled(self.rows.values(), workflows=workflows, now=now):
+        for row in self.stall_detector.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
             key = f"{row.task}/{row.run}"
             log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
-            self.orders.ask_stop(task=row.task, run=row.run, reason="it stands still")
+            self.orders.request_stop(task=row.task, run=row.run, reason="it stands still")
 
     def _learn(self, end: RunEnd, *, accepted_at: float) -> None:
         real_s = self.leadership.clock() - accepted_at
@@ -248,19 +253,21 @@
             return  # forgotten after its end
         step = workflow.spec.steps[task.step]
         if real_s > 0 and step.estimate_ms and not step.long_running:
-            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=real_s * 1000)
+            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, actual_ms=real_s * 1000)
 
-    async def _settle(self, record: VmRecord, *, reply: HoldReply, sent_at: float) -> None:
-        if not reply.is_whole:
+    async def _settle(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
+        if not reply.is_complete:
             return
-        listed = set(self.rows) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
-        settled = self.unlisted.conclude(record, listed=listed, sent_at=sent_at, fenced_at=self.fenced_at)
+        listed = set(self.listed_runs) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
+        settled = self.unlisted.resolve(
+            record, listed=listed, sent_at=sent_at, term_acked_at=self.term_acked_at
+        )
         if settled:
             await self._end(settled)
-        for key, row in self.rows.items():
+        for key, row in self.listed_runs.items():
             if key not in record.runs:
                 # Its end was concluded while the VM was out of contact.
-                self.orders.ask_stop(task=row.task, run=row.run, reason="its end was concluded before")
+                self.orders.request_stop(task=row.task, run=row.run, reason="its end was concluded before")
 
     async def _end(self, ends: list[RunEnd], *, last_end: int = 0, boot: int | None = None) -> None:
         record = self.record
@@ -278,18 +285,18 @@
             self.orders.forget_run(f"{end.task}/{end.run}")
 
     async def _conclude_lapsed(self, record: VmRecord) -> None:
-        if not record.runs or self.leadership.clock() <= self.lease.ends_at:
+        if not record.runs or self.leadership.clock() <= self.lease.expires_at:
             return
         log_event(Event.LEASE_ENDED, vm=self.vm_id, runs=len(record.runs))
-        self.rows = {}
-        await self._end(end_all_runs(record, RunOutcome.LAPSED))
+        self.listed_runs = {}
+        await self._end(make_run_ends(record, RunOutcome.LAPSED))
         self.on_change()
 
     async def _give_up_boot(self, record: VmRecord, *, reason: str) -> None:
         log_event(Event.VM_GONE, vm=self.vm_id, reason=reason)
         self._forget_boot()
         if record.runs:
-            await self._end(end_all_runs(record, RunOutcome.LOST))
+            await self._end(make_run_ends(record, RunOutcome.LOST))
             self.on_change()
 
     async def _take_new_boot(self, record: VmRecord, *, boot: int) -> None:
@@ -311,16 +318,16 @@
         self.on_change()
 
     def _forget_boot(self) -> None:
-        self.is_fenced = False
-        self.rows = {}
+        self.has_acked_term = False
+        self.listed_runs = {}
         self.orders.forget_boot()
         self.lease.forget_clock()
 
     def _note_silence(self, record: VmRecord, *, reason: str) -> None:
-        if self.leadership.clock() - self.answered_at > CONTACT_S and self.is_fenced:
+        if self.leadership.clock() - self.answered_at > CONTACT_S and self.has_acked_term:
             log_event(Event.VM_SILENT, vm=self.vm_id, address=record.address, reason=reason)
-            self.is_fenced = False
+            self.has_acked_term = False
             self.on_change()
 
 
-__all__ = ["FORGET_S", "VmLink"]
+__all__ = ["REMOVE_AFTER_S", "VmLink"]
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.budgets import find_broken_budget
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
     ChangeVm,
     ControlWave,
     MoveVm,
-    NoteQuestion,
+    RecordDrainQuestion,
     SetZone,
     TakePermit,
 )
@@ -20,9 +20,9 @@
 from hyssopway.event import Event, log_event
 
 from .demand import Demand, count_waiting_cores
-from .drains import decide_moves, find_overdue
+from .drains import decide_moves, find_overdue_drains
 from .lending import decide_lending
-from .wave_order import find_late_ms
+from .wave_order import forecast_overrun_ms
 from .waves import decide_waves
 from .zone_steps import decide_zones
 
@@ -33,7 +33,7 @@
     from hyssopway.control.command import ReturnPermit
     from hyssopway.replica import Replica, Submitter
 
-    from .reboots import Reboots
+    from .rebooter import Rebooter
 
 ROUND_S = 0.5
 SUBMIT_TIMEOUT_S = 2.0
@@ -48,13 +48,13 @@
         replica: Agreed state.
         submitter: Way to the agreed state.
         leads: Tells whether this daemon leads.
-        reboots: Has the platform reboot VMs; None without a platform, and waves do not start then.
+        rebooter: Has the platform reboot VMs; None without a platform, and waves do not start then.
         clock: Monotonic seconds.
         now_ms: Returns agreed time.
         asking: Questions about drains whose record is on its way, by VM and start.
         late: Waves that were reported as late.
         demand: Demand of pools; soft state.
-        stepped_ms: Time of the last return step by zone.
+        last_return_ms: Time of the last return step by zone.
         broken: Budget that failures alone exceed, as reported last.
     """
 
@@ -63,12 +63,12 @@
         "broken",
         "clock",
         "demand",
+        "last_return_ms",
         "late",
         "leads",
         "now_ms",
-        "reboots",
+        "rebooter",
         "replica",
-        "stepped_ms",
         "submitter",
     )
 
@@ -80,16 +80,16 @@
         leads: Callable[[], bool],
         clock: Clock,
         now_ms: Callable[[], int],
-        reboots: Reboots | None = None,
+        rebooter: Rebooter | None = None,
     ) -> None:
         self.replica = replica
         self.submitter = submitter
         self.leads = leads
         self.clock = clock
         self.now_ms = now_ms
-        self.reboots = reboots
+        self.rebooter = rebooter
         self.demand = Demand()
-        self.stepped_ms: dict[str, int] = {}
+        self.last_return_ms: dict[str, int] = {}
         self.asking: set[tuple[str, int]] = set()
         self.late: set[str] = set()
         self.broken = ""
@@ -115,20 +115,20 @@
         self._report_broken()
 
     def _rest(self) -> None:
-        if self.reboots is not None:
-            self.reboots.stop()
+        if self.rebooter is not None:
+            self.rebooter.stop()
 
     async def _advance_waves(self) -> None:
-        if self.reboots is None:
+        if self.rebooter is None:
             return
         state = self.replica.state
-        self.reboots.follow(state)
-        steps = decide_waves(state, now_ms=self.now_ms(), returned=self.reboots.returned)
+        self.rebooter.reconcile(state)
+        steps = decide_waves(state, now_ms=self.now_ms(), returned=self.rebooter.returned)
         await asyncio.gather(*(self._submit_step(step) for step in steps))
 
     async def _advance_zones(self) -> None:
         state = self.replica.state
-        steps = decide_zones(state, now_ms=self.now_ms(), stepped_ms=self.stepped_ms)
+        steps = decide_zones(state, now_ms=self.now_ms(), last_return_ms=self.last_return_ms)
         for step in steps:
             result = await self.submitter.submit(step, timeout_s=SUBMIT_TIMEOUT_S)
             if isinstance(step, TakePermit) and result.is_error():
@@ -140,7 +140,7 @@
                 log_event(Event.VM_MOVED, vm=step.vm, source=source, target=step.target, reason=step.reason)
 
     async def _lend(self) -> None:
-        self.demand.note(waiting=count_waiting_cores(self.replica.state), now=self.clock())
+        self.demand.add_sample(waiting=count_waiting_cores(self.replica.state), now=self.clock())
         for command in decide_lending(self.replica.state, demand=self.demand):
             await self.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S)
 
@@ -170,7 +170,7 @@
 
     async def _ask_operator(self) -> None:
         """Asks once about each overdue drain, over all leaders."""
-        overdue = find_overdue(self.replica.state, now_ms=self.now_ms())
+        overdue = find_overdue_drains(self.replica.state, now_ms=self.now_ms())
         self.asking &= {(permit.vm, permit.at_ms) for permit in overdue}
         for permit in overdue:
             key = (permit.vm, permit.at_ms)
@@ -178,7 +178,7 @@
                 # The answer may be lost after the record was agreed; the next round then finds it.
                 self.asking.add(key)
                 await self.submitter.submit(
-                    NoteQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
+                    RecordDrainQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
                     timeout_s=SUBMIT_TIMEOUT_S,
                 )
             if permit.asked and key in self.asking:
@@ -194,7 +194,7 @@
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
-            if is_under_way(wave) and (late_ms := find_late_ms(state, wave=wave, now_ms=self.now_ms()))
+            if is_active(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
         }
         for wave_id in sorted(late.keys() - self.late):
             question = (
@@ -205,7 +205,7 @@
         self.late = set(late)
 
     def _report_broken(self) -> None:
-        broken = find_broken(self.replica.state)
+        broken = find_broken_budget(self.replica.state)
         if broken and broken != self.broken:
             log_event(Event.BUDGET_BROKEN, reason=broken)
         if self.broken and not broken:
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -17,7 +17,7 @@
     run_replication,
 )
 from hyssopway.clock import monotonic_s
-from hyssopway.dispatch import Conductor, Leadership, LeadershipLostError
+from hyssopway.dispatch import LeaderController, Leadership, LeadershipLostError
 from hyssopway.event import Event, log_event
 from hyssopway.peer import PeerServer, PeerUnreachableError
 from hyssopway.relay import (
@@ -67,8 +67,8 @@
         relay: Forwards requests to the leader.
         membership_manager: Changes the members of the group while this node leads.
         service: Handles requests while this node leads.
-        new_conductor: Creates the conductor of a term.
-        conductor: Runs the work of the leader in the current term; None while this node does not lead.
+        new_controller: Creates the leader controller of a term.
+        controller: Runs the work of the leader in the current term; None while this node does not lead.
         peer_server: Server for calls of other nodes.
         tasks: Background tasks.
     """
@@ -78,13 +78,13 @@
         *,
         settings: NodeSettings,
         service: RequestService,
-        new_conductor: Callable[[Leadership], Conductor],
+        new_controller: Callable[[Leadership], LeaderController],
     ) -> None:
         if settings.data_dir is None:
             raise ValueError("a control node requires data_dir")
         self.settings = settings
         self.service = service
-        self.new_conductor = new_conductor
+        self.new_controller = new_controller
         self.directory = NodeDirectory(own_name=settings.host, peer_port=settings.peer_port)
         self.state = WorkflowState()
         self.member = Member(
@@ -103,7 +103,7 @@
         self.membership_manager = MembershipManager(
             member=self.member, tolerated_losses=settings.tolerated_losses
         )
-        self.conductor: Conductor | None = None
+        self.controller: LeaderController | None = None
         handlers = ControlHandlers(
             member=self.member,
             exchange_handlers={
@@ -161,11 +161,11 @@
     def read_gauges(self) -> dict[str, float]:
         """Returns the current gauge values for metrics and dumps."""
         member, tables = self.member, self.state.tables
-        conductor = self.conductor
+        controller = self.controller
         now = member.clock()
-        links = conductor.links.values() if conductor is not None else ()
+        links = controller.links.values() if controller is not None else ()
         return {
-            "leads": float(conductor is not None),
+            "leads": float(controller is not None),
             "term": member.term,
             "commit_index": member.commit_index,
             "applied_index": member.applied_index,
@@ -176,20 +176,20 @@
             "workflows": len(tables.workflows),
             "open_workflows": len(self.state.indexes.open_workflows),
             "runs": sum(len(runs) for runs in tables.runs.values()),
-            "waiting_cores": sum(conductor.dispatcher.waiting_millis.values()) / 1000 if conductor else 0.0,
+            "waiting_cores": sum(controller.dispatcher.waiting_millis.values()) / 1000 if controller else 0.0,
             "document_version": tables.document.version if tables.document is not None else 0,
         }
 
     async def answer(self, request: RelayedRequest) -> RelayedReply:
         """Handles a request if this node leads; otherwise returns status 0 and the leader, if known."""
-        conductor = self.conductor
-        if conductor is None:
+        controller = self.controller
+        if controller is None:
             return RelayedReply(status=0, leader=self.member.leader_daemon)
         try:
-            await conductor.leadership.confirm()
-            return await self.service.answer(request=request, conductor=conductor)
+            await controller.leadership.confirm()
+            return await self.service.answer(request=request, controller=controller)
         except LeadershipLostError as error:
-            log_event(Event.DECISIONS_STOPPED, term=conductor.leadership.term, reason=str(error))
+            log_event(Event.DECISIONS_STOPPED, term=controller.leadership.term, reason=str(error))
             return RelayedReply(status=0, leader=self.member.leader_daemon)
         except Exception as error:
             log_event(Event.HTTP_HANDLER_FAILED, method=request.method, path=request.path, error=repr(error))
@@ -201,7 +201,7 @@
         Raises:
             UnansweredError: No leader answered in time.
         """
-        if self.conductor is not None:
+        if self.controller is not None:
             reply = await self.answer(request)
             if reply.status:
                 return reply
@@ -221,11 +221,11 @@
                 workflows=len(tables.workflows),
                 vms=len(tables.vms),
             )
-            self.conductor = self.new_conductor(leadership)
+            self.controller = self.new_controller(leadership)
             try:
-                await self.conductor.run()
+                await self.controller.run()
             finally:
-                self.conductor = None
+                self.controller = None
 
     async def _join_group(self) -> None:
         """Requests to join whenever this member is not part of the group."""
@@ -255,7 +255,7 @@
 
     async def _handle_leader_query(self, data: bytes) -> bytes:
         members = sorted({daemon_of(member) for member in self.member.configuration.members})
-        leads = self.conductor is not None and self.conductor.leadership.may_order()
+        leads = self.controller is not None and self.controller.leadership.may_order()
         answer = {"leads": leads, "leader": self.member.leader_daemon, "members": members}
         return json.dumps(answer).encode()
 
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -13,15 +13,15 @@
 
 import numpy as np
 
-from hyssopway.dispatch import HoldReply, OrderReply, PlatformLimits, RunningRow
-from hyssopway.dispatch.answer_times import AnswerTimes
+from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.look_pacer import LookPacer
-from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.duration_scale import DurationScale
+from hyssopway.dispatch.pace_history import PaceHistory
+from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.pool_load import measure_pools
+from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.vm_link import VmLink
-from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import (
     AcceptWorkflow,
     Capacity,
@@ -83,16 +83,16 @@
     """VMs that accept every order and list what runs."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[RunningRow]] = {}
+        self.rows: dict[str, list[ListedRun]] = {}
 
-    async def hold(self, *, vm: VmRecord, **_: Any) -> HoldReply:
+    async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
         """Lists the runs of a VM."""
         running = tuple(self.rows.get(vm.vm_id, ()))
-        return HoldReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_whole=True)
+        return PollReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_complete=True)
 
     async def start(self, *, vm: VmRecord, task: str, run: int, **_: Any) -> OrderReply:
         """Starts a run."""
-        self.rows.setdefault(vm.vm_id, []).append(RunningRow(task, run, "", 50, 0))
+        self.rows.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
         return OrderReply()
 
 
@@ -142,23 +142,23 @@
     dispatcher = Dispatcher(leadership=term, links=links)  # type: ignore[arg-type]
     for vm_id in term.state.tables.vms:
         links[vm_id] = _link(vm_id, term=term, calls=calls, dispatcher=dispatcher)
-        await links[vm_id].look()
+        await links[vm_id].poll()
     running = round(vms * CORES_A_VM * HALF_FULL / CORES_A_TASK)
     await _submit(term, tasks=running, name="run")
     await _round(dispatcher)
     while sum(dispatcher.waiting_millis.values()):
         await _round(dispatcher)
     for link in links.values():
-        await link.look()
+        await link.poll()
     empty_round_ms = await _time(lambda: _round(dispatcher))
     first = next(iter(links.values()))
-    look_ms = await _time(first.look)
+    look_ms = await _time(first.poll)
     forecast = DemandForecast(ahead_s=2.0, scale=lambda _: 1.0)
 
     async def measure_all() -> None:
         tables, indexes = term.state.tables, term.state.indexes
         measure_pools(tables=tables, waiting_millis={})
-        forecast.measure(tables=tables, indexes=indexes, now_ms=0)
+        forecast.update(tables=tables, indexes=indexes, now_ms=0)
 
     pools_ms = await _time(measure_all)
     await _submit(term, tasks=ROUND_STARTS, name="new")
@@ -187,7 +187,7 @@
 
 
 async def _round(dispatcher: Dispatcher) -> None:
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     while dispatcher.sending:
         await asyncio.gather(*dispatcher.sending)
         await asyncio.sleep(0)
@@ -243,7 +243,7 @@
     limits = PlatformLimits(
         longest_lease_s=10.0,
         stop_s=0.4,
-        turn_s=3.0,
+        machine_lease_s=3.0,
         maintenance_s=2.0,
         move_s=1.5,
         machine_orders_per_s=64.0,
@@ -255,10 +255,10 @@
         leadership=term,  # type: ignore[arg-type]
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
-        scale=WorkScale(),
-        pacer=LookPacer(),
-        times=AnswerTimes(),
-        pace_memory=PaceMemory(),
+        scale=DurationScale(),
+        poll_limiter=PollRateLimiter(),
+        rtt_estimator=RttEstimator(),
+        pace_memory=PaceHistory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
     )
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -11,7 +11,7 @@
 from hyssopway.control.command import PromoteDocument, SetZone, TrialDocument
 from hyssopway.control.record import JobStatus, ReclaimAction, RunOutcome, ZoneStatus
 from hyssopway.document import Resources
-from hyssopway.job import TaskUsage, explain_waiting
+from hyssopway.job import TaskUsage, explain_pending
 from hyssopway.job.capacity_tree import CLOSED, CapacityTree
 from hyssopway.job.estimates import MAX_KINDS, Estimates
 from hyssopway.job.shares import fair_shares
@@ -88,7 +88,7 @@
         leader.submitter.accept(f"j{number}", team="blue", resources=HALF)
         await leader.round()
         usage = TaskUsage(job_id=f"j{number}", epoch=1, usage=Resources(cores=2, memory_gb=4), ran_s=5)
-        leader.book.record(vm="vm", tasks=[usage])
+        leader.usage_reports.record(vm="vm", tasks=[usage])
         leader.end(f"j{number}")
     for number in range(4):
         leader.submitter.accept(f"k{number}", team="blue", resources=HALF)
@@ -161,7 +161,9 @@
     """Guards against a zone that takes all work at once and fails again."""
     for number in range(4):
         leader.submitter.register(f"vm{number}")
-    leader.submitter.must(SetZone(zone="a", status=ZoneStatus.RETURNING, request_id="r", operator="o"))
+    leader.submitter.apply_or_fail(
+        SetZone(zone="a", status=ZoneStatus.RETURNING, request_id="r", operator="o")
+    )
     for number in range(20):
         leader.submitter.accept(f"j{number}", team="blue")
     for expected in (4, 8, 12, 16):
@@ -219,8 +221,8 @@
     await leader.round()
     text = DOCUMENT.replace("max_running: 3,", "max_running: 1,")
     trial = TrialDocument(text=text, expected_generation=1, request_id="t2", operator="o")
-    digest = leader.submitter.must(trial).reference
-    leader.submitter.must(
+    digest = leader.submitter.apply_or_fail(trial).reference
+    leader.submitter.apply_or_fail(
         PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o")
     )
     await leader.round(3)
@@ -245,7 +247,7 @@
     for number in range(jobs):
         leader.submitter.accept(f"r{number}")
     await leader.round()
-    assert rule in explain_waiting(leader.submitter.state, job=leader.jobs[f"r{jobs - 1}"])
+    assert rule in explain_pending(leader.submitter.state, job=leader.jobs[f"r{jobs - 1}"])
 
 
 def test_estimates_forget_the_oldest_of_too_many_kinds():
@@ -268,7 +270,9 @@
             (ZoneStatus.OPEN, {"vm-a", "vm-b"}),
         ]
     ):
-        leader.submitter.must(SetZone(zone="a", status=status, request_id=f"z{number}", operator="o"))
+        leader.submitter.apply_or_fail(
+            SetZone(zone="a", status=status, request_id=f"z{number}", operator="o")
+        )
         for part in range(2):
             leader.submitter.accept(f"j{number}-{part}", team="blue")
         await leader.round()
@@ -283,7 +287,7 @@
     leader.submitter.register("vm-1", home="h1")
     leader.submitter.register("vm-2", home="h2")
     for number, (silent, vms) in enumerate([({"h2"}, {"vm-1"}), (set(), {"vm-1", "vm-2"})]):
-        leader.scheduler.planner.find_silent = lambda silent=silent: frozenset(silent)
+        leader.scheduler.planner.find_silent_homes = lambda silent=silent: frozenset(silent)
         for part in range(2):
             leader.submitter.accept(f"j{number}-{part}", team="blue")
         await leader.round()
