--- a/src/hyssopway/agreement/leader_suspicion.py
+++ b/src/hyssopway/agreement/leader_suspicion.py
@@ -12,8 +12,8 @@
 class LeaderSuspicion:
     """Records when a member last had a reason to suspect that there is no live leader.
 
-    A lost connection or a start of the own process says much earlier than a long silence that a leader may be
-    needed. A member that hears a leader after the suspicion has begun drops it.
+    A lost connection or a start of the own process shows much earlier than the election timeout that a new leader
+    may be needed. The suspicion ends when the member hears from a leader.
 
     Attributes:
         clock: Monotonic seconds.
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -199,7 +199,7 @@
             (o, n) for n in names for o in others
         }
 
-    async def leader(self, *, among: tuple[str, ...] = NAMES, timeout_s: float = 15.0) -> Node:
+    async def wait_for_leader(self, *, among: tuple[str, ...] = NAMES, timeout_s: float = 15.0) -> Node:
         """Returns the leader with the highest term once it has committed an entry of its term."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
@@ -214,7 +214,7 @@
         """Proposes a command repeatedly until it is acknowledged."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
-            node = await self.leader(among=among, timeout_s=timeout_s)
+            node = await self.wait_for_leader(among=among, timeout_s=timeout_s)
             if (await node.member.propose(data=data, timeout_s=1.0)).is_ok():
                 return
             await asyncio.sleep(0.02)
--- a/tests/agreement/test_early_elections.py
+++ b/tests/agreement/test_early_elections.py
@@ -91,14 +91,14 @@
     """Guards against a starting group that waits for the election timeout although it has no leader."""
     slow_timeout_group.start(*NAMES)
     started = time.monotonic()
-    leader = await slow_timeout_group.leader()
+    leader = await slow_timeout_group.wait_for_leader()
     assert time.monotonic() - started < EARLY_ELECTION_S
     await slow_timeout_group.write(b"x")
     term = leader.member.term
     await slow_timeout_group.stop(*NAMES)
     slow_timeout_group.start(*NAMES)
     started = time.monotonic()
-    leader = await slow_timeout_group.leader()
+    leader = await slow_timeout_group.wait_for_leader()
     assert time.monotonic() - started < EARLY_ELECTION_S
     assert leader.member.term > term
 
@@ -106,20 +106,20 @@
 async def test_lost_connections_to_the_leader_start_an_election(slow_timeout_group: Group):
     """Guards against waiting for the full election timeout after the leader's process was killed."""
     slow_timeout_group.start(*NAMES)
-    leader = name_of(await slow_timeout_group.leader())
+    leader = name_of(await slow_timeout_group.wait_for_leader())
     others = tuple(name for name in NAMES if name != leader)
     await slow_timeout_group.stop(leader)
     started = time.monotonic()
     for name in others:
         slow_timeout_group.nodes[name].member.leader_suspicion.start()
-    await slow_timeout_group.leader(among=others)
+    await slow_timeout_group.wait_for_leader(among=others)
     assert time.monotonic() - started < EARLY_ELECTION_S
 
 
 async def test_live_leader_survives_suspicions(slow_timeout_group: Group):
     """Guards against a live leader that is deposed because its connections were reset."""
     slow_timeout_group.start(*NAMES)
-    leader = await slow_timeout_group.leader()
+    leader = await slow_timeout_group.wait_for_leader()
     term = leader.member.term
     for _ in range(5):
         for node in slow_timeout_group.nodes.values():
@@ -132,7 +132,7 @@
 async def test_suspecting_member_grants_no_vote_while_its_leader_may_act(slow_timeout_group: Group):
     """Guards against two leaders that act at the same time after connections were lost."""
     slow_timeout_group.start(*NAMES)
-    leader = name_of(await slow_timeout_group.leader())
+    leader = name_of(await slow_timeout_group.wait_for_leader())
     follower, candidate = _two_others(leader)
     member = slow_timeout_group.nodes[follower].member
     await asyncio.sleep(SLOW_TIMERS.heartbeat_s * 3)
--- a/tests/agreement/test_group.py
+++ b/tests/agreement/test_group.py
@@ -22,7 +22,7 @@
 
 async def test_vote_for_lost_identity_is_refused(group: Group):
     """Guards against counting the vote of a member with an empty disk as that of the member it replaced."""
-    await group.leader()
+    await group.wait_for_leader()
     await group.stop("e")
     group.start("e", initial=False, subfolder="-new")
     replacement = group.nodes["e"].member
@@ -35,7 +35,7 @@
 
 async def test_pre_vote_waits_for_a_candidate_that_has_the_vote(group: Group):
     """Guards against a new leader that a second candidate deposes before its first message arrives."""
-    await group.leader()
+    await group.wait_for_leader()
     await group.stop("b", "c", "d", "e")
     member = group.nodes["a"].member
     await wait_until(lambda: not member.is_leader and not member.leader_id)
@@ -52,7 +52,7 @@
 
 async def test_chunks_of_two_snapshots_are_not_mixed(group: Group):
     """Guards against a state that is assembled from the snapshots of two leaders."""
-    await group.leader()
+    await group.wait_for_leader()
     node = group.nodes["a"]
     await group.stop("b", "c", "d", "e")
     chunks = [
@@ -80,7 +80,7 @@
     """Guards against a deposed leader whose entries replace committed ones."""
     for number in range(20):
         await group.write(b"before %d" % number)
-    old = await group.leader()
+    old = await group.wait_for_leader()
     name = name_of(old)
     others = tuple(other for other in NAMES if other != name)
     group.blocked_links = {(name, other) for other in others}
@@ -99,12 +99,12 @@
 
 async def test_election_after_long_isolation_of_all_is_fast(group: Group):
     """Guards against election timeouts that grow during an isolation and delay the next election."""
-    await group.leader()
+    await group.wait_for_leader()
     group.blocked_links = {(a, b) for a in NAMES for b in NAMES if a != b}
     await asyncio.sleep(6 * TIMERS.election_max_s)
     group.blocked_links.clear()
     started = time.monotonic()
-    await group.leader()
+    await group.wait_for_leader()
     assert time.monotonic() - started < 4 * TIMERS.election_max_s
 
 
@@ -125,15 +125,15 @@
     """Guards against a member that is sent the same snapshot forever."""
     group = Group(folder=tmp_path, snapshot_entries=50)
     group.start(*NAMES)
-    await group.leader()
+    await group.wait_for_leader()
     await group.stop("e")
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     acknowledged: list[bytes] = []
     for start in range(0, 400, 50):
         batch = [b"%d" % (start + number) for number in range(50)]
         results = await asyncio.gather(*(leader.member.propose(data=item, timeout_s=5) for item in batch))
         acknowledged += [item for item, result in zip(batch, results, strict=True) if result.is_ok()]
-        leader = await group.leader()
+        leader = await group.wait_for_leader()
     group.start("e")
     commands = await group.wait_until_converged()
     assert len(acknowledged) > 200
@@ -148,7 +148,7 @@
 ):
     """Guards against a snapshot chunk with a term that the sender knows of but does not lead."""
     monkeypatch.setattr(replication, "SNAPSHOT_CHUNK_BYTES", 8)
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     await group.write(b"a state of several parts")
     member = leader.member
     member.snapshot_entries = 1
--- a/tests/agreement/test_linearizability.py
+++ b/tests/agreement/test_linearizability.py
@@ -81,7 +81,7 @@
     """Guards against a stale read from a deposed leader and against a promotion that is reverted."""
     rng = random.Random(seed)
     history: list[Operation] = []
-    await group.leader()
+    await group.wait_for_leader()
     deadline = time.monotonic() + 6
 
     async def call() -> None:
--- a/tests/agreement/test_membership.py
+++ b/tests/agreement/test_membership.py
@@ -30,7 +30,7 @@
     """Requests a change; retries while another is in progress or the learner has not caught up."""
     deadline = time.monotonic() + timeout_s
     while True:
-        leader = await group.leader()
+        leader = await group.wait_for_leader()
         result = await leader.member.change_members(wanted, timeout_s=2)
         waits = result.is_error() and result.error.code in (
             ResultCode.MEMBERSHIP_BUSY,
@@ -51,7 +51,7 @@
 
 async def test_second_change_waits_for_the_first(group: Group):
     """Guards against two overlapping changes whose quorums need not intersect."""
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     await wait_until(lambda: all(p.match_index for p in leader.member.progress.values()))
     changes = (RemoveMember(member_id=f"{n}/0") for n in NAMES if n != name_of(leader))
     results = await asyncio.gather(*(leader.member.change_members(c, timeout_s=2) for c in changes))
@@ -66,7 +66,7 @@
     A new leader of five may commit its first entry with two of four replies. If one of the two members that replied is
     removed, only two of the four remaining voters are known to be reachable.
     """
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     others = list(leader.member.progress.values())
     await wait_until(lambda: all(p.match_index for p in others))
     for progress in others[2:]:
@@ -82,7 +82,7 @@
 
 async def test_new_leader_changes_members_only_after_its_first_commit(group: Group):
     """Guards against a change that follows an uncommitted change of an earlier leader."""
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     leader.member.commit_index = leader.member.term_start_index - 1
     result = await leader.member.change_members(RemoveMember(member_id="a/0"), timeout_s=1)
     assert result.error.code is ResultCode.MEMBERSHIP_BUSY
@@ -93,7 +93,7 @@
     for number in range(300):
         if number % 100 == 0:
             await group.write(b"%d" % number)
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     lost = next(name for name in NAMES if name != name_of(leader))
     await group.stop(lost)
     group.start(lost, initial=False, subfolder="-new")
@@ -104,7 +104,7 @@
     assert (await change(group, AddLearner(member_id=replacement))).is_ok()
     assert (await change(group, PromoteLearner(member_id=replacement))).is_ok()
     assert len(await group.wait_until_converged()) == 3
-    rest = [name for name in NAMES if name not in (lost, name_of(await group.leader()))]
+    rest = [name for name in NAMES if name not in (lost, name_of(await group.wait_for_leader()))]
     await group.stop(*rest[:2])
     await group.write(b"with three of five")
     assert group.nodes[lost].member.is_voter
@@ -112,7 +112,7 @@
 
 async def test_lagging_learner_is_not_promoted(group: Group):
     """Guards against a new voter that lags too far to help commit entries."""
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     group.start("f", initial=False)
     learner = group.nodes["f"].member.member_id
     assert (await change(group, AddLearner(member_id=learner))).is_ok()
@@ -127,7 +127,7 @@
 
 async def test_removed_leader_steps_down(group: Group):
     """Guards against a leader that keeps leading after it was removed from the group."""
-    old = await group.leader()
+    old = await group.wait_for_leader()
     # A leader commits with two replies but correctly refuses its own removal before a third member has replied.
     await wait_until(lambda: all(progress.acked_at > 0 for progress in old.member.progress.values()))
     assert (
@@ -139,7 +139,7 @@
 
 async def test_removal_that_would_stop_the_group_is_refused(group: Group):
     """Guards against a removal that can never be committed."""
-    leader = await group.leader()
+    leader = await group.wait_for_leader()
     others = [name for name in NAMES if name != name_of(leader)]
     await group.stop(*others[:2])
     await asyncio.sleep(1.5 * leader.member.timers.election_max_s)
