--- a/src/hyssopway/dispatch/__init__.py
+++ b/src/hyssopway/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of the leader about workflows, and its orders to worker VMs."""
+"""Scheduling of workflows by the leader, and its orders to worker VMs and machines."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/dispatch/emptying.py
+++ b/src/hyssopway/dispatch/emptying.py
@@ -82,7 +82,7 @@
         task = TaskId.parse(name)
         step = tables.workflows[task.workflow].spec.steps[task.step]
         if step.long_running:
-            if may_interrupt(tables=tables, task=task, is_at_work=self._is_at_work):
+            if may_interrupt(tables=tables, task=task, is_working=self._is_at_work):
                 self._stop(task, run=int(run), link=link)
         elif step.checkpointing and self.leadership.clock() - self.since[vm_id] > FINISH_S:
             self._stop(task, run=int(run), link=link)
--- a/src/hyssopway/dispatch/interruption.py
+++ b/src/hyssopway/dispatch/interruption.py
@@ -1,6 +1,6 @@
-"""Decides which long-running tasks may be interrupted now.
+"""Decides whether a long-running task may be interrupted without exceeding its step's disruption allowance.
 
-Answers the load pattern of VMs that are emptied while tasks of the same step are away for other reasons.
+Tasks of the same step may already be down for other reasons when a VM is drained.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
     from hyssopway.workflow import Tables
 
-# A step without an allowance is still interrupted one task at a time.
+# Steps without an allowance may have one task at a time interrupted.
 DEFAULT_ALLOWANCE = 1
 
 
-def may_interrupt(*, tables: Tables, task: TaskId, is_at_work: Callable[[str], bool]) -> bool:
-    """Tells whether a task of a long-running step may be stopped by the system.
+def may_interrupt(*, tables: Tables, task: TaskId, is_working: Callable[[str], bool]) -> bool:
+    """Returns whether the system may stop a task of a long-running step now.
 
     Args:
-        tables: Agreed data.
-        task: The task.
-        is_at_work: Tells whether the run with a key is listed as at work.
+        tables: Tables of the replicated state.
+        task: ID of the task.
+        is_working: Returns whether the run with the given key is listed as working.
     """
     workflow = tables.workflows[task.workflow]
     step = workflow.spec.steps[task.step]
     allowance = step.disruption_allowance or DEFAULT_ALLOWANCE
-    away = 0
+    unavailable = 0
     for number in range(step.count):
         other = TaskId(task.workflow, task.occurrence, task.step, number)
         if other == task:
             continue
         runs = tables.runs.get(other.name, [])
-        away += not any(is_at_work(run.key) for run in runs)
-    return away < allowance
+        unavailable += not any(is_working(run.key) for run in runs)
+    return unavailable < allowance
 
 
 __all__ = ["may_interrupt"]
--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -1,4 +1,4 @@
-"""Everything that one leader does while its term lasts."""
+"""Runs all control loops of a leader for the duration of one term."""
 
 from __future__ import annotations
 
@@ -33,30 +33,30 @@
     from .platform_limits import PlatformLimits
     from .worker_calls import WorkerCalls
 
-WATCH_S = 0.1
-REPORT_S = 1.0
+SUPERVISION_INTERVAL_S = 0.1
+LOAD_REPORT_INTERVAL_S = 1.0
 
 
 class LeaderController:
-    """Links to all VMs and the decisions of a leader.
+    """Supervises the links to all VMs and the control loops of a leader.
 
     Attributes:
-        leadership: The term.
+        leadership: Term in which this process leads.
         calls: Client of worker VMs.
-        limits: Bounds that the platform sets.
-        links: VMs by identity.
+        limits: Limits that the platform sets.
+        links: Links to VMs, by VM ID.
         dispatcher: Places tasks.
-        advice: Asks for the tickets of advised steps.
-        emptying: VMs whose work ends or moves.
+        advice: Requests the tickets of steps whose queue has an advisor.
+        emptying: Drains VMs.
         waves: Carries out maintenance waves.
-        scale: How far declared durations are off.
+        scale: Ratio of actual to declared run durations.
         mover: Moves machines between pools.
-        poll_limiter: Rate of the polls at all VMs.
-        pace_memory: How much tasks that fill disturb those that serve.
-        rtt_estimator: Times that answers to orders take.
-        retention: Workflows that ended, and since when.
-        tasks: Running tasks by VM.
-        reported_at: Local time of the last report of the load.
+        poll_limiter: Limits the rate of polls over all VMs.
+        pace_memory: How much best-effort tasks slow down latency-bound ones.
+        rtt_estimator: Estimates how long a VM takes to answer an order.
+        retention: Finds ended workflows whose records may be deleted.
+        tasks: Asyncio tasks that run the links, by VM ID.
+        load_reported_at: Local time of the last load report.
     """
 
     __slots__ = (
@@ -67,10 +67,10 @@
         "leadership",
         "limits",
         "links",
+        "load_reported_at",
         "mover",
         "pace_memory",
         "poll_limiter",
-        "reported_at",
         "retention",
         "rtt_estimator",
         "scale",
@@ -91,13 +91,13 @@
         self.calls = calls
         self.limits = limits
         self.links: dict[str, VmLink] = {}
-        self.reported_at = float("-inf")
+        self.load_reported_at = float("-inf")
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.scale = WorkScale()
         self.poll_limiter = PollRateLimiter()
         self.pace_memory = PaceMemory()
         self.rtt_estimator = RttEstimator()
-        self.retention = Retention(keep_s=limits.status_s)
+        self.retention = Retention(retention_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
         self.advice = AdviceFetcher(
             state=leadership.state,
@@ -133,9 +133,9 @@
         )
 
     async def run(self) -> None:
-        """Leads until the term ends."""
+        """Runs all control loops, and restarts those that fail, until the term ends."""
         self.leadership.state.on_change = self.dispatcher.changed.set
-        works = {
+        loops = {
             "dispatcher": self.dispatcher.run,
             "waves": self.waves.run,
             "pools": self.mover.run,
@@ -144,15 +144,15 @@
         running: dict[str, asyncio.Task[None]] = {}
         try:
             while self.leadership.holds:
-                for name, work in works.items():
+                for name, work in loops.items():
                     if name not in running or running[name].done():
-                        running[name] = asyncio.create_task(_until_lost(name, work()))
-                self._follow_vms()
-                self._empty_draining()
-                await self._forget_silent()
-                await self._forget_ended()
+                        running[name] = asyncio.create_task(_run_until_lost(name, work()))
+                self._sync_links()
+                self._drain_vms()
+                await self._remove_silent_vms()
+                await self._delete_expired_workflows()
                 self._report_load()
-                await asyncio.sleep(WATCH_S)
+                await asyncio.sleep(SUPERVISION_INTERVAL_S)
         except LeadershipLostError as error:
             log_event(Event.DECISIONS_STOPPED, term=self.leadership.term, reason=str(error))
         finally:
@@ -161,12 +161,12 @@
                 task.cancel()
 
     async def handle_announcement(self, command: RegisterVm) -> None:
-        """Takes in what a VM says of itself; agrees on it only when something changed."""
+        """Handles the announcement of a VM; proposes a command only when something changed."""
         link = self.links.get(command.vm)
         if link is not None:
             link.heard_at = self.leadership.clock()
-        known = self.leadership.state.tables.vms.get(command.vm)
-        if known is not None and _is_known(known, command):
+        current = self.leadership.state.tables.vms.get(command.vm)
+        if current is not None and _is_unchanged(current, command):
             return
         log_event(
             Event.VM_ANNOUNCED,
@@ -176,16 +176,16 @@
             draining=command.draining,
         )
         await self.leadership.propose(command)
-        self._follow_vms()
+        self._sync_links()
 
     async def handle_departure(self, *, vm: str) -> None:
-        """Takes in that a VM has ended."""
-        known = self.leadership.state.tables.vms.get(vm)
-        if known is not None:
-            log_event(Event.VM_GONE, vm=vm, reason="it said that it leaves")
-            await self.leadership.propose(RemoveVm(vm=vm, boot=known.boot, at_ms=wall_ms()))
+        """Handles the departure of a VM and removes its record."""
+        current = self.leadership.state.tables.vms.get(vm)
+        if current is not None:
+            log_event(Event.VM_GONE, vm=vm, reason="it announced its departure")
+            await self.leadership.propose(RemoveVm(vm=vm, boot=current.boot, at_ms=wall_ms()))
 
-    def _follow_vms(self) -> None:
+    def _sync_links(self) -> None:
         for vm_id in self.leadership.state.tables.vms:
             task = self.tasks.get(vm_id)
             if task is not None and not task.done():
@@ -204,23 +204,23 @@
                     tickets=self.dispatcher.tickets,
                     on_change=self.dispatcher.changed.set,
                 )
-            self.tasks[vm_id] = asyncio.create_task(_until_lost(f"VM {vm_id}", link.run()))
+            self.tasks[vm_id] = asyncio.create_task(_run_until_lost(f"VM {vm_id}", link.run()))
         for vm_id in set(self.links) - set(self.leadership.state.tables.vms):
             del self.links[vm_id]
             self.tasks.pop(vm_id).cancel()
 
-    def _empty_draining(self) -> None:
+    def _drain_vms(self) -> None:
         for vm_id, vm in self.leadership.state.tables.vms.items():
             if vm.draining:
-                self.emptying.close(vm_id, reason="it drains")
+                self.emptying.close(vm_id, reason="it is draining")
         if self.leadership.may_order():
             self.emptying.step()
 
     def _report_load(self) -> None:
         now = self.leadership.clock()
-        if now - self.reported_at < REPORT_S:
+        if now - self.load_reported_at < LOAD_REPORT_INTERVAL_S:
             return
-        self.reported_at = now
+        self.load_reported_at = now
         loads = measure_pools(
             tables=self.leadership.state.tables, waiting_millis=self.dispatcher.waiting_millis
         )
@@ -235,35 +235,35 @@
                 waiting=load.waiting_millis // 1000,
             )
 
-    async def _forget_ended(self) -> None:
+    async def _delete_expired_workflows(self) -> None:
         workflows = self.leadership.state.tables.workflows
         expired = self.retention.find_expired(workflows, now=self.leadership.clock())
         if expired:
             await self.leadership.propose(ForgetWorkflows(workflow_ids=expired))
             log_event(Event.WORKFLOWS_FORGOTTEN, count=len(expired), left=len(workflows))
 
-    async def _forget_silent(self) -> None:
+    async def _remove_silent_vms(self) -> None:
         now = self.leadership.clock()
         for vm_id, link in list(self.links.items()):
             record = link.record
             if record is not None and now - link.heard_at > REMOVE_AFTER_S and now > link.lease.expires_at:
-                log_event(Event.VM_GONE, vm=vm_id, reason=f"silent for {now - link.heard_at:.1f} s")
+                log_event(Event.VM_GONE, vm=vm_id, reason=f"no contact for {now - link.heard_at:.1f} s")
                 await self.leadership.propose(RemoveVm(vm=vm_id, boot=record.boot, at_ms=wall_ms()))
 
 
-async def _until_lost(name: str, work: Awaitable[None]) -> None:
+async def _run_until_lost(name: str, work: Awaitable[None]) -> None:
     try:
         await work
     except LeadershipLostError as error:
         log_event(Event.TASK_ENDED, task=name, reason=str(error))
     except Exception as error:
-        # The controller starts the task again.
+        # LeaderController.run restarts the task.
         log_event(Event.TASK_FAILED, task=name, error=repr(error))
 
 
-def _is_known(known: object, command: RegisterVm) -> bool:
+def _is_unchanged(current: object, command: RegisterVm) -> bool:
     fields = ("boot", "address", "pool", "zone", "labels", "capacity", "draining")
-    return all(getattr(known, field) == getattr(command, field) for field in fields)
+    return all(getattr(current, field) == getattr(command, field) for field in fields)
 
 
 __all__ = ["LeaderController"]
--- a/src/hyssopway/dispatch/leadership.py
+++ b/src/hyssopway/dispatch/leadership.py
@@ -1,4 +1,4 @@
-"""The right of one leader to decide and to order."""
+"""Guards the right of a leader to propose commands and send orders during its term."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
     from hyssopway.workflow import Command, WorkflowState
 
 PROPOSE_TIMEOUT_S = 3.0
-# Below the shortest election timeout: an order that leaves in time is sent before any other leader is elected.
+# Shorter than the shortest election timeout, so no other leader can be elected while the lease is valid.
 LEADER_LEASE_S = 0.3
 CONFIRM_TIMEOUT_S = 0.5
 
 
 class LeadershipLostError(Exception):
-    """This process no longer leads the term, or cannot confirm that it does."""
+    """This process no longer leads the term, or can't confirm that it does."""
 
 
 class Leadership:
     """One term of one leader.
 
     Attributes:
-        member: Member that leads.
-        state: Agreed state.
-        term: The term; also the fencing token of all orders.
-        clock: Monotonic seconds.
-        started_at: Local time at which the term was taken over.
+        member: Consensus member that leads.
+        state: Replicated state.
+        term: Number of the term; also the fencing token of all orders.
+        clock: Local monotonic clock, in seconds.
+        started_at: Local time at which this process became leader.
     """
 
     __slots__ = ("clock", "member", "started_at", "state", "term")
@@ -45,21 +45,21 @@
 
     @property
     def holds(self) -> bool:
-        """Whether the member still leads the term, as far as it knows."""
+        """Whether the member believes that it still leads the term."""
         return self.member.is_leader and self.member.term == self.term
 
     def may_order(self) -> bool:
-        """Tells whether no other leader can have been elected yet."""
+        """Returns whether the leader lease is valid, so that no other leader can have been elected yet."""
         return self.holds and self.clock() - self.member.confirmed_at() <= LEADER_LEASE_S
 
     async def confirm(self) -> None:
-        """Makes sure that no other leader had been elected when this was called.
+        """Confirms that no other leader had been elected when this was called.
 
-        A process that was paused goes on with requests that arrived meanwhile; its state may miss what another leader
-        has agreed on since, such as a key that was withdrawn.
+        After a pause a process continues with the requests that arrived meanwhile. Its state may then lack commands
+        that another leader has committed since, such as the revocation of a key.
 
         Raises:
-            LeadershipLostError: No quorum confirms this leader.
+            LeadershipLostError: No quorum confirmed this leader.
         """
         if self.may_order():
             return
@@ -67,18 +67,18 @@
             case Result(tag="ok") if self.holds:
                 return
             case Result(tag="ok"):
-                raise LeadershipLostError(f"term {self.term} is over")
+                raise LeadershipLostError(f"term {self.term} has ended")
             case Result(error=failure):
                 raise LeadershipLostError(failure.message)
 
     async def propose(self, command: Command) -> None:
-        """Agrees on a command and applies it.
+        """Commits a command to the replicated log and applies it.
 
         Raises:
-            LeadershipLostError: The command was not confirmed; it may still take effect.
+            LeadershipLostError: The commit was not confirmed; the command may still take effect.
         """
         if not self.holds:
-            raise LeadershipLostError(f"term {self.term} is over")
+            raise LeadershipLostError(f"term {self.term} has ended")
         match await self.member.propose(data=encode_command(command), timeout_s=PROPOSE_TIMEOUT_S):
             case Result(tag="ok"):
                 return
--- a/src/hyssopway/dispatch/lease.py
+++ b/src/hyssopway/dispatch/lease.py
@@ -1,23 +1,23 @@
-"""How long the runs of a VM may go on after the last order."""
+"""Tracks the lease under which the runs of a VM may continue without contact to the leader."""
 
 from __future__ import annotations
 
 RUN_LEASE_S = 4.0
-# The steady clock of a VM may be this much slower than ours.
+# The monotonic clock of a VM may run slower than the local one by this share.
 CLOCK_DRIFT = 0.02
 LEASE_SLACK_S = 0.05
 
 
 class VmLease:
-    """Bound on the lease of all runs of one VM.
+    """Lease of all runs of one VM, with an upper bound on its expiry.
 
-    The lease is a time on the VM's own steady clock. An estimate of that clock that is never ahead of it, together
-    with the drift, bounds when the lease has ended for certain, also for an order that was answered late or not at
-    all.
+    A lease ends at a time on the VM's own monotonic clock. The estimate of that clock is never ahead of it; together
+    with the largest clock drift, this bounds the local time by which the lease has certainly expired, even if the
+    order that granted it was answered late or not at all.
 
     Attributes:
-        length_s: Length of a lease.
-        expires_at: Local time after which no run of the VM is under a lease.
+        length_s: Length of a lease in seconds.
+        expires_at: Local time after which no run of the VM holds a lease.
         clock_ms: Last reading of the VM's clock; None before the first.
         read_at: Local time at which that reading arrived.
     """
@@ -31,16 +31,16 @@
         self.read_at = 0.0
 
     def record_clock(self, *, clock_ms: int, now: float) -> None:
-        """Takes a reading of the VM's clock that arrived now."""
+        """Records a reading of the VM's clock that has just arrived."""
         self.clock_ms = clock_ms
         self.read_at = now
 
-    def forget_clock(self) -> None:
-        """Forgets the clock of a boot that has ended."""
+    def clear_clock(self) -> None:
+        """Discards the clock reading of a boot that has ended."""
         self.clock_ms = None
 
     def renew(self, *, now: float) -> int | None:
-        """Returns the end of a lease that is granted now, on the VM's clock; None while that clock is unknown."""
+        """Grants a lease and returns its end on the VM's clock in ms; returns None while that clock is unknown."""
         if self.clock_ms is None:
             return None
         elapsed_s = (now - self.read_at) * (1 - CLOCK_DRIFT)
@@ -49,7 +49,7 @@
 
 
 def lease_expiry(*, granted_at: float, length_s: float) -> float:
-    """Returns the local time at which a lease has surely ended on the VM's clock."""
+    """Returns the local time by which a lease has certainly expired on the VM's clock."""
     return granted_at + length_s / (1 - CLOCK_DRIFT) + LEASE_SLACK_S
 
 
--- a/src/hyssopway/dispatch/listed_end.py
+++ b/src/hyssopway/dispatch/listed_end.py
@@ -1,4 +1,4 @@
-"""An end as its VM lists it."""
+"""End of a run as its VM lists it."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class ListedEnd(NamedTuple):
-    """An end and its number.
+    """End of a run with the sequence number that acknowledges it.
 
     Attributes:
-        number: Number of the end in this boot of the VM, from 1.
-        end: The end.
+        number: Sequence number of the end within this boot of the VM, from 1.
+        end: End of the run.
     """
 
     number: int
--- a/src/hyssopway/dispatch/listed_run.py
+++ b/src/hyssopway/dispatch/listed_run.py
@@ -1,4 +1,4 @@
-"""A run as its VM lists it."""
+"""Run in progress as its VM lists it."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 class ListedRun(NamedTuple):
-    """A run in progress; a tuple, since each look at a VM lists dozens.
+    """Run in progress; a named tuple because each poll of a VM lists dozens of runs.
 
     Attributes:
-        task: Text form of the task's identity.
+        task: ID of the task.
         run: Number of the run.
-        checkpoint: Last checkpoint; empty for none.
-        percent: Share of its work that is done; for a long-running task 100 once it is at work without a limit.
-        reading: Tail of the response time in milliseconds for a task that serves, else thousandths of a core
-            in use; over the last half second.
+        checkpoint: Last checkpoint; empty if there is none.
+        percent: Percentage of the work done; 100 for a long-running task that works at full rate.
+        reading: Measurement over the last half second: the tail response time in milliseconds for a latency-bound
+            task, the CPU use in millicores for any other.
     """
 
     task: str
--- a/src/hyssopway/dispatch/order_reply.py
+++ b/src/hyssopway/dispatch/order_reply.py
@@ -1,4 +1,4 @@
-"""What a VM answers to an order."""
+"""Answer of a VM to an order."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class Refusal(StrEnum):
-    """Why a VM did nothing."""
+    """Reason for which a VM did not carry out an order."""
 
-    FENCED = "fenced"  # it knows a higher fencing token
-    OLD_RUN = "old_run"  # this run or a later one was stopped or ended there
-    LATE = "late"  # the lease that came with the order is over
+    FENCED = "fenced"  # the VM has seen a higher fencing token
+    OLD_RUN = "old_run"  # this run or a later one of the task was stopped or has ended on the VM
+    LATE = "late"  # the lease in the order has expired
     NO_ROOM = "no_room"
     NO_TICKET = "no_ticket"
-    OTHER_BOOT = "other_boot"  # another VM or boot answers at this address
+    OTHER_BOOT = "other_boot"  # another VM, or another boot of this one, answers at the address
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
 
@@ -24,7 +24,7 @@
     """Answer to a start, stop or change of pace.
 
     Attributes:
-        refusal: Why nothing was done; None when the order was carried out.
+        refusal: Reason for which the order was not carried out; None if it was.
     """
 
     refusal: Refusal | None = None
--- a/src/hyssopway/dispatch/order_state.py
+++ b/src/hyssopway/dispatch/order_state.py
@@ -1,4 +1,4 @@
-"""What a leader knows of a start that it ordered."""
+"""State of a leader's orders for one run."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class OrderState:
-    """State of one order to start a run.
+    """State of the orders to start and stop one run, as far as this leader knows.
 
     Attributes:
-        is_sending: Whether the order waits for its answer.
-        accepted_at: Local time at which the VM's acceptance arrived; infinite when none did.
-        stop_requested_at: Local time at which a stop was last sent.
-        stopped_at: Local time at which the answer to a stop arrived; infinite when none did.
-        unlisted_since: Local time at which the first of the latest listings without the run was asked for; infinite
-            while it is listed.
+        is_sending: Whether the start is in flight.
+        accepted_at: Local time at which the VM first accepted or listed the run; infinite if it has done neither.
+        stop_requested_at: Local time at which a stop was last sent; negative infinity if none was.
+        stopped_at: Local time at which the VM first confirmed a stop; infinite if it hasn't.
+        unlisted_since: Local time at which the first poll was sent from which on the run has not been listed;
+            infinite while it is listed.
     """
 
     is_sending: bool = False
@@ -25,8 +25,8 @@
     unlisted_since: float = float("inf")
 
     @property
-    def is_start_settled(self) -> bool:
-        """Whether the VM accepted the run or was asked to stop it, so that its start is not repeated."""
+    def is_start_resolved(self) -> bool:
+        """Whether the VM accepted the run or was told to stop it, so that the start must not be retried."""
         return self.accepted_at != float("inf") or self.stop_requested_at != float("-inf")
 
 
--- a/src/hyssopway/dispatch/platform_limits.py
+++ b/src/hyssopway/dispatch/platform_limits.py
@@ -1,4 +1,4 @@
-"""Bounds that the platform sets for a leader's orders."""
+"""Limits that the platform sets for a leader's orders."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformLimits:
-    """Bounds from the settings of the platform.
+    """Limits from the settings of the platform.
 
     Attributes:
         longest_lease_s: Longest lease that VMs accept.
         stop_s: Longest time that a VM takes to stop a run.
-        machine_lease_s: Shortest time between orders of two leaders for one machine.
+        machine_lease_s: Shortest time between the orders of two leaders for the same machine.
         maintenance_s: Duration of the maintenance of a machine.
         move_s: Duration of the move of a machine to another pool.
-        machine_orders_per_s: Orders for machines that the platform accepts from all nodes together.
+        machine_orders_per_s: Rate of machine orders that the platform accepts from all nodes together.
         pacing_s: Time until a change of pace takes effect.
-        status_s: How long the state of an ended workflow can be asked for.
+        status_s: How long the status of an ended workflow can be queried.
     """
 
     longest_lease_s: float
--- a/src/hyssopway/dispatch/poll_reply.py
+++ b/src/hyssopway/dispatch/poll_reply.py
@@ -1,4 +1,4 @@
-"""What a VM answers when its runs are held."""
+"""Answer of a VM to a poll."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PollReply:
-    """Runs of a VM.
+    """Runs that a VM lists when it is polled.
 
     Attributes:
-        clock_ms: Steady clock of the VM when it answered.
-        boot: Boot of the VM.
+        clock_ms: Monotonic clock of the VM when it answered.
+        boot: Boot number of the VM.
         running: Runs in progress.
-        ends: Ends that are not acknowledged yet, oldest first.
-        is_whole: Whether all such ends are listed.
+        ends: Ends of runs that the leader has not acknowledged yet, oldest first.
+        is_complete: Whether all unacknowledged ends are listed.
     """
 
     clock_ms: int
--- a/src/hyssopway/dispatch/poll_timing.py
+++ b/src/hyssopway/dispatch/poll_timing.py
@@ -1,30 +1,30 @@
-"""Decides how long a look at a VM may take.
+"""Chooses the wait and the timeout of each poll of a VM.
 
-Answers the load pattern of VMs that leave a share of all calls unanswered for some seconds: an end that is seen a
-second late holds up the next step and keeps its room from waiting work.
+After an unanswered poll the next ones are short: a VM may leave a share of all calls unanswered for some seconds, and
+a run's end that is seen a second late delays the next step and keeps its capacity from waiting tasks.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-CALM_WAIT_MS = 500
-# A look answers after its wait at the latest; the rest is for the way and a busy VM.
-CALM_MARGIN_S = 0.35
-# How long looks stay short after one without an answer.
+STABLE_WAIT_MS = 500
+# A poll is answered after its wait at the latest; the margin covers the network and a busy VM.
+STABLE_MARGIN_S = 0.35
+# Polls stay short for this long after an unanswered one.
 UNSTABLE_S = 5.0
-UNSURE_WAIT_MS = 200
-# Margins by the number of looks lost in a row: a VM that is slow must get a look that lasts until its answer.
-UNSURE_MARGINS_S = (0.15, 0.25, 0.35)
+UNSTABLE_WAIT_MS = 200
+# Margins by the number of consecutive unanswered polls; they grow so that a slow VM has time to answer.
+UNSTABLE_MARGINS_S = (0.15, 0.25, 0.35)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PollTimes:
-    """Times of one look.
+    """Wait and timeout of one poll.
 
     Attributes:
-        wait_ms: How long the VM waits for an end before it answers.
-        timeout_s: Longest wait for the answer.
+        wait_ms: How long the VM waits for a run to end before it answers.
+        timeout_s: How long the leader waits for the answer.
     """
 
     wait_ms: int
@@ -32,40 +32,40 @@
 
 
 class PollTiming:
-    """Chooses the times of the looks at one VM.
+    """Chooses the times of the polls of one VM.
 
     Attributes:
-        lost: Looks without an answer since the last one with an answer.
-        lost_at: Local time of the last look without an answer.
+        consecutive_losses: Unanswered polls since the last answered one.
+        lost_at: Local time of the last unanswered poll.
     """
 
-    __slots__ = ("lost", "lost_at")
+    __slots__ = ("consecutive_losses", "lost_at")
 
     def __init__(self) -> None:
-        self.lost = 0
+        self.consecutive_losses = 0
         self.lost_at = float("-inf")
 
-    def note_answered(self) -> None:
-        """Takes in an answer."""
-        self.lost = 0
+    def record_answer(self) -> None:
+        """Records an answered poll."""
+        self.consecutive_losses = 0
 
-    def note_lost(self, *, now: float) -> None:
-        """Takes in a look without an answer."""
-        self.lost += 1
+    def record_loss(self, *, now: float) -> None:
+        """Records an unanswered poll."""
+        self.consecutive_losses += 1
         self.lost_at = now
 
-    def choose(self, *, now: float, has_acked_term: bool) -> PollTimes:
-        """Chooses the times of the next look.
+    def choose_times(self, *, now: float, has_acked_term: bool) -> PollTimes:
+        """Returns the times of the next poll.
 
         Args:
             now: Local time.
-            has_acked_term: Whether the VM is known to follow this leader; otherwise its list is wanted at once.
+            has_acked_term: Whether the VM has acknowledged this leader's term; if not, it is asked to answer at once.
         """
         if now - self.lost_at >= UNSTABLE_S:
-            wait_ms, margin_s = CALM_WAIT_MS, CALM_MARGIN_S
+            wait_ms, margin_s = STABLE_WAIT_MS, STABLE_MARGIN_S
         else:
-            wait_ms = UNSURE_WAIT_MS
-            margin_s = UNSURE_MARGINS_S[min(self.lost, len(UNSURE_MARGINS_S) - 1)]
+            wait_ms = UNSTABLE_WAIT_MS
+            margin_s = UNSTABLE_MARGINS_S[min(self.consecutive_losses, len(UNSTABLE_MARGINS_S) - 1)]
         if not has_acked_term:
             wait_ms = 0
         return PollTimes(wait_ms=wait_ms, timeout_s=wait_ms / 1000 + margin_s)
--- a/src/hyssopway/dispatch/resolution.py
+++ b/src/hyssopway/dispatch/resolution.py
@@ -1,7 +1,7 @@
-"""Decides what became of runs that a VM does not list.
+"""Resolves the outcome of a run that its VM does not list.
 
-Answers the load pattern of orders that are lost, or carried out seconds late, and of a leader that takes over from
-one that died between two steps.
+An order may be lost or carried out seconds late, and a leader may take over from one that died after committing a
+start and before sending it.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class Resolution(Enum):
-    """What is known of an agreed run that its VM does not list."""
+    """How to proceed with a committed run that its VM does not list."""
 
-    WAIT = auto()  # the order is on its way, or the run may be ending
-    STOP = auto()  # the order may still arrive; a stop makes the VM refuse it
-    NOT_STARTED = auto()
-    LOST = auto()  # it was accepted and is listed neither as running nor as ended
+    WAIT = auto()  # the start is in flight, or the run may be stopping
+    STOP = auto()  # the start may still arrive; a stop makes the VM refuse it
+    NOT_STARTED = auto()  # the run never started and can no longer start
+    LOST = auto()  # the VM accepted the run and lists it neither as running nor as ended
 
 
 def resolve_unlisted(
@@ -31,28 +31,29 @@
     listing_sent_at: float,
     stop_s: float,
 ) -> Resolution:
-    """Settles a run that is not in a listing.
+    """Resolves a run that is missing from a listing.
 
-    A run that is being stopped is listed neither as running nor as ended, and still works. So a run is settled only
-    when it stays unlisted for as long as a stop may take, from when its start has become impossible.
+    A run that is being stopped is still working but listed neither as running nor as ended. The outcome is therefore
+    certain only once the run has stayed unlisted for the longest duration of a stop, counted from when the VM had
+    accepted the run or could no longer start it.
 
     Args:
-        order_state: The order as this leader knows it; a fresh one when another leader sent it.
-        run_token: Fencing token under which the run was agreed.
-        own_token: Fencing token that the VM answered.
-        term_acked_at: Local time at which the VM first answered that token.
-        listing_sent_at: Local time at which the listing was asked for.
+        order_state: State of the order as this leader knows it; a new one if another leader sent the order.
+        run_token: Fencing token under which the run was committed.
+        own_token: Fencing token of this leader, which the VM has acknowledged.
+        term_acked_at: Local time at which the VM first acknowledged that token.
+        listing_sent_at: Local time at which the poll for the listing was sent.
         stop_s: Longest time that the VM takes to stop a run.
     """
     if order_state.is_sending:
         return Resolution.WAIT
     was_accepted = order_state.accepted_at != float("inf")
-    # The VM has seen the higher token, so an order of a former leader does nothing from then on.
-    settled_since = term_acked_at if run_token < own_token else order_state.stopped_at
-    settled_since = min(settled_since, order_state.accepted_at)
-    if settled_since == float("inf"):
+    # Once the VM has seen the higher token, it refuses orders of earlier leaders.
+    order_final_since = term_acked_at if run_token < own_token else order_state.stopped_at
+    order_final_since = min(order_final_since, order_state.accepted_at)
+    if order_final_since == float("inf"):
         return Resolution.STOP
-    if listing_sent_at < max(settled_since, order_state.unlisted_since) + stop_s:
+    if listing_sent_at < max(order_final_since, order_state.unlisted_since) + stop_s:
         return Resolution.WAIT
     return Resolution.LOST if was_accepted else Resolution.NOT_STARTED
 
--- a/src/hyssopway/dispatch/retention.py
+++ b/src/hyssopway/dispatch/retention.py
@@ -1,7 +1,7 @@
-"""Decides which ended workflows are forgotten.
+"""Finds ended workflows whose records have expired and may be deleted.
 
-Answers the load pattern of tens of thousands of workflows a day: without an end to their records, the state, its
-snapshots and the memory of every control node grow for as long as the group lives.
+With tens of thousands of workflows a day, the replicated state, its snapshots and the memory of every control node
+would otherwise grow without bound.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
     from hyssopway.workflow import Workflow
 
-# Submitters may ask for the state this much longer than promised.
+# Records are kept this much longer than submitters are promised.
 SLACK_S = 30.0
-CHECK_S = 5.0
-MAX_FORGOTTEN = 500
+CHECK_INTERVAL_S = 5.0
+MAX_DELETIONS = 500
 
 
 class Retention:
-    """Time since which each workflow is seen as ended.
+    """Tracks how long each workflow has been in a final state.
 
-    Counted with the clock of the present leader, because wall clocks may step; a new leader counts from the start of
-    its term.
+    Times are measured with the monotonic clock of the current leader, because wall clocks may step; a new leader
+    starts to count with its term.
 
     Attributes:
-        keep_s: How long the state of an ended workflow can be asked for, in seconds.
-        ended_at: Local time at which each workflow was first seen ended.
+        retention_s: How long the status of an ended workflow can be queried, in seconds.
+        ended_at: Local time at which each workflow was first found in a final state, by workflow ID.
         checked_at: Local time of the last check.
     """
 
-    __slots__ = ("checked_at", "ended_at", "keep_s")
+    __slots__ = ("checked_at", "ended_at", "retention_s")
 
-    def __init__(self, *, keep_s: float) -> None:
-        self.keep_s = keep_s
+    def __init__(self, *, retention_s: float) -> None:
+        self.retention_s = retention_s
         self.ended_at: dict[str, float] = {}
         self.checked_at = float("-inf")
 
     def find_expired(self, workflows: Mapping[str, Workflow], *, now: float) -> tuple[str, ...]:
-        """Returns the workflows to forget now; looks every few seconds only."""
-        if now - self.checked_at < CHECK_S:
+        """Returns the IDs of the workflows to delete, or none if the last check was too recent."""
+        if now - self.checked_at < CHECK_INTERVAL_S:
             return ()
         self.checked_at = now
         self.ended_at = {
@@ -48,9 +48,9 @@
             for workflow_id, workflow in workflows.items()
             if workflow.status.is_final
         }
-        oldest = now - self.keep_s - SLACK_S
+        oldest = now - self.retention_s - SLACK_S
         expired = [workflow_id for workflow_id, at in self.ended_at.items() if at <= oldest]
-        return tuple(expired[:MAX_FORGOTTEN])
+        return tuple(expired[:MAX_DELETIONS])
 
 
 __all__ = ["Retention"]
--- a/src/hyssopway/dispatch/rtt_estimator.py
+++ b/src/hyssopway/dispatch/rtt_estimator.py
@@ -1,53 +1,53 @@
-"""Decides after how long an order without an answer is repeated.
+"""Estimates the round-trip time of orders to choose how soon an unanswered order is retried.
 
-Answers two load patterns: VMs that leave a share of all orders unanswered, where each wait makes tasks late; and a
-leader at the peak of a turn that sends hundreds of orders at once, so that answers take long though none is lost, and
-orders repeated too early take the processor time that the answers need.
+A timeout that is too long delays tasks on VMs that leave a share of all orders unanswered. One that is too short hurts
+at peak load: a leader sends hundreds of orders at once, so answers take long although none is lost, and needless
+retries take the CPU time that the answers need.
 
-The estimate is that of TCP's retransmission timeout (RFC 6298), over the orders of one leader to all VMs.
+The estimator is that of TCP's retransmission timeout (RFC 6298), over the orders of one leader to all VMs.
 """
 
 from __future__ import annotations
 
 MIN_TIMEOUT_S = 0.04
 MAX_TIMEOUT_S = 0.5
-# An order is repeated for about this long; what has no answer then is settled by a stop.
+# An order is retried for about this long; a start that is still unanswered is then resolved by a stop.
 RETRY_WINDOW_S = 1.0
-MEAN_SHARE = 1 / 8
-DEVIATION_SHARE = 1 / 4
-DEVIATIONS = 4.0
-# Before the first answer.
-START_MEAN_S = 0.01
-START_DEVIATION_S = 0.0125
+MEAN_GAIN = 1 / 8
+DEVIATION_GAIN = 1 / 4
+DEVIATION_FACTOR = 4.0
+# Used until the first answer.
+INITIAL_MEAN_S = 0.01
+INITIAL_DEVIATION_S = 0.0125
 
 
 class RttEstimator:
-    """Times that answers to orders take.
+    """Smoothed round-trip time of orders and its deviation.
 
     Attributes:
-        mean_s: Smoothed time.
-        deviation_s: Smoothed distance from it.
+        mean_s: Smoothed round-trip time.
+        deviation_s: Smoothed absolute deviation from `mean_s`.
     """
 
     __slots__ = ("deviation_s", "mean_s")
 
     def __init__(self) -> None:
-        self.mean_s = START_MEAN_S
-        self.deviation_s = START_DEVIATION_S
+        self.mean_s = INITIAL_MEAN_S
+        self.deviation_s = INITIAL_DEVIATION_S
 
     def record_rtt(self, *, rtt_s: float) -> None:
-        """Takes in how long an answer took."""
+        """Records the round-trip time of an answered order."""
         distance_s = abs(self.mean_s - rtt_s)
-        self.deviation_s += DEVIATION_SHARE * (distance_s - self.deviation_s)
-        self.mean_s += MEAN_SHARE * (rtt_s - self.mean_s)
+        self.deviation_s += DEVIATION_GAIN * (distance_s - self.deviation_s)
+        self.mean_s += MEAN_GAIN * (rtt_s - self.mean_s)
 
     def choose_timeouts(self) -> list[float]:
-        """Returns the longest wait for an answer at each try of an order, in seconds."""
-        wait_s = max(MIN_TIMEOUT_S, self.mean_s + DEVIATIONS * self.deviation_s)
+        """Returns the timeout of each attempt to send an order, in seconds, with exponential backoff."""
+        timeout_s = max(MIN_TIMEOUT_S, self.mean_s + DEVIATION_FACTOR * self.deviation_s)
         timeouts: list[float] = []
         while sum(timeouts) < RETRY_WINDOW_S:
-            timeouts.append(min(wait_s, MAX_TIMEOUT_S))
-            wait_s *= 2
+            timeouts.append(min(timeout_s, MAX_TIMEOUT_S))
+            timeout_s *= 2
         return timeouts
 
 
--- a/src/hyssopway/dispatch/run_ends.py
+++ b/src/hyssopway/dispatch/run_ends.py
@@ -1,4 +1,4 @@
-"""Ends of runs that a leader concludes without a report of the VM."""
+"""Builds the ends of runs whose outcome the leader infers without a report from the VM."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def make_run_end(run: ActiveRun, outcome: RunOutcome) -> RunEnd:
-    """Returns the end of one run."""
+    """Returns the end of one run with the given outcome."""
     return RunEnd(task=run.task, run=run.run, outcome=outcome)
 
 
 def make_run_ends(record: VmRecord, outcome: RunOutcome) -> list[RunEnd]:
-    """Returns the ends of all runs that are agreed to be on a VM."""
+    """Returns the ends of all runs on a VM according to the replicated state."""
     ends = []
     for key in sorted(record.runs):
         task, _, number = key.rpartition("/")
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -1,4 +1,4 @@
-"""Sends the orders of a leader to one VM."""
+"""Sends a leader's orders for runs to one VM."""
 
 from __future__ import annotations
 
@@ -25,26 +25,28 @@
     from .ticket_cache import TicketCache
     from .worker_calls import WorkerCalls
 
-STOP_AGAIN_S = 0.5
-NO_ROOM_PAUSE_S = 0.3
+STOP_RETRY_S = 0.5
+REFUSAL_PAUSE_S = 0.3
 
 
 class RunOrders:
-    """Starts and stops of runs on one VM, and what became of them.
+    """Sends orders for the runs of one VM and tracks their state.
+
+    Orders are retried. This is safe because starts are idempotent: a VM that already has the run accepts a repeated
+    start as the same one, and refuses a start that arrives after the end of the run.
 
     Attributes:
-        vm_id: The VM.
-        leadership: Term on whose behalf orders are sent.
+        vm_id: ID of the VM.
+        leadership: Term in which the orders are sent.
         calls: Client of worker VMs.
-        lease: Bound on the lease of the VM's runs.
+        lease: Lease of the VM's runs.
         tickets: Tickets of steps whose queue has an advisor.
-        rtt_estimator: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
-            one, and refuses one that arrives after the end of the run, so orders may be repeated.
-        order_states: Orders by run key.
-        sending: Stops and changes of pace on their way.
+        rtt_estimator: Estimates how long a VM takes to answer an order.
+        order_states: States of the orders, by run key.
+        sending: Asyncio tasks that send stops and changes of pace.
         paces: Pace in percent that the VM confirmed, by run key.
-        pacing: Keys of runs whose change of pace is on its way.
-        paused_until: Local time before which nothing is placed on the VM.
+        pace_requests: Keys of the runs whose change of pace is in flight.
+        paused_until: Local time before which no task is placed on the VM.
     """
 
     __slots__ = (
@@ -52,8 +54,8 @@
         "leadership",
         "lease",
         "order_states",
+        "pace_requests",
         "paces",
-        "pacing",
         "paused_until",
         "rtt_estimator",
         "sending",
@@ -80,29 +82,29 @@
         self.order_states: dict[str, OrderState] = {}
         self.sending: set[asyncio.Task[None]] = set()
         self.paces: dict[str, int] = {}
-        self.pacing: set[str] = set()
+        self.pace_requests: set[str] = set()
         self.paused_until = float("-inf")
 
     @property
     def record(self) -> VmRecord | None:
-        """The VM as agreed."""
+        """Record of the VM in the replicated state; None if there is none."""
         return self.leadership.state.tables.vms.get(self.vm_id)
 
     def expect_start(self, *, task: str, run: int) -> None:
-        """Notes that a start is about to be agreed and ordered."""
+        """Records that a start is about to be committed and ordered."""
         self.order_states[f"{task}/{run}"] = OrderState(is_sending=True)
 
     def drop_start(self, *, task: str, run: int) -> None:
-        """Forgets a start that was not agreed."""
+        """Discards a start that was not committed."""
         self.order_states.pop(f"{task}/{run}", None)
 
     async def start(
         self, run: ActiveRun, *, specification: str, checkpoint: str, needs_ticket: bool = False
     ) -> RunEnd | None:
-        """Orders an agreed start; returns the end of a run that certainly does not start."""
+        """Orders a committed start; returns an end if the run certainly doesn't start, else None."""
         step_name = TaskId.parse(run.task).step_name
         order_state = self.order_states.setdefault(run.key, OrderState(is_sending=True))
-        # Repeated orders carry the same lease: a VM that is gone must not be waited for any longer.
+        # Repeated orders carry the same lease: a later end would prolong the wait for a VM that is gone.
         until_ms = self.lease.renew(now=self.leadership.clock())
         is_sent = False
         try:
@@ -110,7 +112,7 @@
                 record = self.record
                 if record is None or record.boot != run.boot or until_ms is None:
                     break
-                if not self.leadership.may_order() or order_state.is_start_settled:
+                if not self.leadership.may_order() or order_state.is_start_resolved:
                     break
                 ticket = self.tickets.read(step_name, vm=self.vm_id, boot=run.boot) if needs_ticket else ""
                 if needs_ticket and not ticket:
@@ -133,12 +135,14 @@
                     is_sent = True
                     continue
                 self.rtt_estimator.record_rtt(rtt_s=self.leadership.clock() - sent_at)
-                return self._take_start_reply(run, order_state=order_state, reply=reply, is_repeated=is_sent)
+                return self._process_start_reply(
+                    run, order_state=order_state, reply=reply, is_repeated=is_sent
+                )
         finally:
             order_state.is_sending = False
         return None if is_sent else make_run_end(run, RunOutcome.NOT_STARTED)
 
-    def _take_start_reply(
+    def _process_start_reply(
         self, run: ActiveRun, *, order_state: OrderState, reply: OrderReply, is_repeated: bool
     ) -> RunEnd | None:
         if reply.refusal is None:
@@ -146,62 +150,62 @@
             return None
         log_event(Event.ORDER_REFUSED, order="start", run=run.key, vm=self.vm_id, reason=reply.refusal)
         if reply.refusal is Refusal.NO_TICKET:
-            # The ticket ran out or is of another boot; it says nothing of the VM.
+            # The ticket has expired or is for another boot; the refusal is no sign of a problem on the VM.
             self.tickets.drop(TaskId.parse(run.task).step_name, vm=self.vm_id)
         else:
-            self.paused_until = self.leadership.clock() + NO_ROOM_PAUSE_S
+            self.paused_until = self.leadership.clock() + REFUSAL_PAUSE_S
         # An earlier copy of a repeated order may still be carried out.
         if is_repeated or reply.refusal is Refusal.OTHER_BOOT:
             return None
         return make_run_end(run, RunOutcome.NOT_STARTED)
 
     def is_stop_requested(self, key: str) -> bool:
-        """Tells whether a stop of a run was sent."""
+        """Returns whether a stop of a run was sent."""
         order_state = self.order_states.get(key)
         return order_state is not None and order_state.stop_requested_at > float("-inf")
 
     def request_stop(self, *, task: str, run: int, reason: str) -> None:
-        """Sends a stop unless one was sent a moment ago."""
+        """Sends a stop unless one was sent within the last `STOP_RETRY_S` seconds."""
         order_state = self.order_states.setdefault(f"{task}/{run}", OrderState())
         now = self.leadership.clock()
-        if now - order_state.stop_requested_at < STOP_AGAIN_S or not self.leadership.may_order():
+        if now - order_state.stop_requested_at < STOP_RETRY_S or not self.leadership.may_order():
             return
         order_state.stop_requested_at = now
         log_event(Event.STOP_ORDERED, run=f"{task}/{run}", vm=self.vm_id, reason=reason)
-        self._send(self._stop(task=task, run=run, order_state=order_state))
+        self._send_in_background(self._send_stop(task=task, run=run, order_state=order_state))
 
     def request_pace(self, *, task: str, run: int, percent: int) -> None:
-        """Sends a change of pace unless one is on its way."""
+        """Sends a change of pace unless one is in flight."""
         key = f"{task}/{run}"
-        if key in self.pacing or not self.leadership.may_order():
+        if key in self.pace_requests or not self.leadership.may_order():
             return
-        self.pacing.add(key)
+        self.pace_requests.add(key)
         log_event(Event.PACE_ORDERED, run=key, vm=self.vm_id, percent=percent)
-        self._send(self._pace(task=task, run=run, percent=percent))
+        self._send_in_background(self._send_pace(task=task, run=run, percent=percent))
 
-    def forget_boot(self) -> None:
-        """Forgets the runs of a boot that has ended."""
+    def discard_boot(self) -> None:
+        """Discards the state of all runs of a boot that has ended."""
         self.order_states.clear()
         self.paces.clear()
 
-    def forget_run(self, key: str) -> OrderState | None:
-        """Forgets a run that has ended and returns what was known of its start."""
+    def discard_run(self, key: str) -> OrderState | None:
+        """Discards a run that has ended and returns the state of its order, if there was one."""
         self.paces.pop(key, None)
         return self.order_states.pop(key, None)
 
     def record_listed(self, keys: Iterable[str], *, now: float) -> None:
-        """Takes in the runs that the VM listed."""
+        """Records the runs that the VM listed as accepted."""
         for key in keys:
             order_state = self.order_states.setdefault(key, OrderState())
             order_state.accepted_at = min(order_state.accepted_at, now)
             order_state.unlisted_since = float("inf")
 
-    def _send(self, order: Coroutine[None, None, None]) -> None:
+    def _send_in_background(self, order: Coroutine[None, None, None]) -> None:
         sending = asyncio.create_task(order)
         self.sending.add(sending)
         sending.add_done_callback(self.sending.discard)
 
-    async def _pace(self, *, task: str, run: int, percent: int) -> None:
+    async def _send_pace(self, *, task: str, run: int, percent: int) -> None:
         key = f"{task}/{run}"
         try:
             for timeout_s in self.rtt_estimator.choose_timeouts():
@@ -220,13 +224,13 @@
                 except WorkerUnreachableError as error:
                     self._log_unanswered("pace", key=key, error=error)
                     continue
-                # A refused change is not repeated: the run has ended or another leader orders it.
+                # A refused change is not retried: the run has ended or another leader controls it.
                 self.paces[key] = percent
                 return
         finally:
-            self.pacing.discard(key)
+            self.pace_requests.discard(key)
 
-    async def _stop(self, *, task: str, run: int, order_state: OrderState) -> None:
+    async def _send_stop(self, *, task: str, run: int, order_state: OrderState) -> None:
         for timeout_s in self.rtt_estimator.choose_timeouts():
             record = self.record
             if record is None or not self.leadership.may_order():
--- a/src/hyssopway/dispatch/stall_detector.py
+++ b/src/hyssopway/dispatch/stall_detector.py
@@ -1,7 +1,7 @@
-"""Finds runs that stand still.
+"""Detects runs that make no progress.
 
-Answers the load pattern of VMs that accept tasks, answer every look and do no work: the share of work done, which
-each look lists, stays the same.
+A faulty VM may accept tasks and answer every poll but do no work; the percentage of work done that each poll lists
+then stays the same.
 """
 
 from __future__ import annotations
@@ -17,56 +17,59 @@
 
     from .listed_run import ListedRun
 
-# Long enough for a busy VM to list progress twice.
+# Long enough for a busy VM to report progress twice.
 MIN_STALL_S = 1.2
-# A share of 1% may take this part of the declared duration longer than expected.
+# One percent of progress may take up to this share of the declared duration.
 STALL_SHARE = 0.15
 
 
 class StallDetector:
-    """Progress of the runs of one VM.
+    """Tracks the progress of the runs of one VM.
 
     Attributes:
-        seen: Share done and the local time since which it has been that, by run key.
+        last_progress: Percentage done and the local time of its last change, by run key.
     """
 
-    __slots__ = ("seen",)
+    __slots__ = ("last_progress",)
 
     def __init__(self) -> None:
-        self.seen: dict[str, tuple[int, float]] = {}
+        self.last_progress: dict[str, tuple[int, float]] = {}
 
-    def update(self, shares: Iterable[tuple[str, int]], *, now: float) -> None:
-        """Takes in a listing of run keys and percent done."""
-        fresh: dict[str, tuple[int, float]] = {}
-        for key, percent in shares:
-            known = self.seen.get(key)
-            fresh[key] = known if known is not None and known[0] == percent else (percent, now)
-        self.seen = fresh
+    def update(self, progress: Iterable[tuple[str, int]], *, now: float) -> None:
+        """Records the percentage done of each listed run and drops runs that are no longer listed."""
+        updated: dict[str, tuple[int, float]] = {}
+        for key, percent in progress:
+            last = self.last_progress.get(key)
+            updated[key] = last if last is not None and last[0] == percent else (percent, now)
+        self.last_progress = updated
 
     def find_stalled(
-        self, rows: Iterable[ListedRun], *, workflows: dict[str, Workflow], now: float
+        self, runs: Iterable[ListedRun], *, workflows: dict[str, Workflow], now: float
     ) -> list[ListedRun]:
-        """Takes in a listing and returns the runs of short tasks that stand still."""
-        watched: list[tuple[ListedRun, int]] = []
-        for row in rows:
-            task = TaskId.parse(row.task)
+        """Records the progress of the listed runs and returns the stalled ones.
+
+        Long-running, best-effort and gang-scheduled tasks are not checked.
+        """
+        candidates: list[tuple[ListedRun, int]] = []
+        for run in runs:
+            task = TaskId.parse(run.task)
             workflow = workflows.get(task.workflow)
             step = workflow.spec.steps[task.step] if workflow is not None else None
             if step is not None and not step.long_running and not step.fills and not step.gang:
-                watched.append((row, step.estimate_ms))
-        self.update(((f"{row.task}/{row.run}", row.percent) for row, _ in watched), now=now)
+                candidates.append((run, step.estimate_ms))
+        self.update(((f"{run.task}/{run.run}", run.percent) for run, _ in candidates), now=now)
         return [
-            row
-            for row, declared_ms in watched
-            if self.is_stalled(f"{row.task}/{row.run}", declared_ms=declared_ms, now=now)
+            run
+            for run, declared_ms in candidates
+            if self.is_stalled(f"{run.task}/{run.run}", declared_ms=declared_ms, now=now)
         ]
 
     def is_stalled(self, key: str, *, declared_ms: float, now: float) -> bool:
-        """Tells whether a run has made no progress for too long."""
-        known = self.seen.get(key)
-        if known is None:
+        """Returns whether a run has made no progress for too long."""
+        last = self.last_progress.get(key)
+        if last is None:
             return False
-        return now - known[1] >= max(MIN_STALL_S, declared_ms / 1000 * STALL_SHARE)
+        return now - last[1] >= max(MIN_STALL_S, declared_ms / 1000 * STALL_SHARE)
 
 
 __all__ = ["StallDetector"]
--- a/src/hyssopway/dispatch/unlisted_runs.py
+++ b/src/hyssopway/dispatch/unlisted_runs.py
@@ -1,4 +1,4 @@
-"""Finds out what became of agreed runs that their VM does not list."""
+"""Resolves the outcome of runs that are in the replicated state but that their VM does not list."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class UnlistedRuns:
-    """Runs of one VM that are agreed and not listed.
+    """Resolves runs of one VM that are in the replicated state but not listed by the VM.
 
     Attributes:
-        leadership: The term.
-        orders: Orders of this term to the VM.
+        leadership: Term in which this process leads.
+        orders: Orders sent to the VM in this term.
         stop_s: Longest time that the VM takes to stop a run.
     """
 
@@ -36,17 +36,17 @@
     def resolve(
         self, record: VmRecord, *, listed: set[str], sent_at: float, term_acked_at: float
     ) -> list[RunEnd]:
-        """Returns the ends that are certain; asks for a stop of runs whose start was not answered.
+        """Returns the ends of runs whose outcome is certain; requests a stop of those whose start got no answer.
 
         Args:
-            record: The VM as agreed.
-            listed: Keys of the runs and ends that it listed.
-            sent_at: Local time at which the listing was asked for.
-            term_acked_at: Local time at which the VM first answered the token of this term.
+            record: Record of the VM in the replicated state.
+            listed: Keys of the runs and ends that the VM listed.
+            sent_at: Local time at which the poll was sent.
+            term_acked_at: Local time at which the VM first acknowledged the fencing token of this term.
         """
         ends: list[RunEnd] = []
         for key in sorted(record.runs - listed):
-            run = self._find(key)
+            run = self._find_run(key)
             if run is None:
                 continue
             order_state = self.orders.order_states.setdefault(key, OrderState())
@@ -61,7 +61,7 @@
             )
             match decision:
                 case Resolution.STOP:
-                    self.orders.request_stop(task=run.task, run=run.run, reason="its start was not answered")
+                    self.orders.request_stop(task=run.task, run=run.run, reason="its start got no answer")
                 case Resolution.NOT_STARTED:
                     ends.append(make_run_end(run, RunOutcome.NOT_STARTED))
                 case Resolution.LOST:
@@ -70,7 +70,7 @@
                     pass
         return ends
 
-    def _find(self, key: str) -> ActiveRun | None:
+    def _find_run(self, key: str) -> ActiveRun | None:
         runs = self.leadership.state.tables.runs.get(key.rpartition("/")[0], ())
         return next((run for run in runs if run.key == key and run.vm == self.orders.vm_id), None)
 
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -1,4 +1,4 @@
-"""Keeps in contact with one VM on behalf of a leader."""
+"""Polls one VM on behalf of a leader and processes what it reports."""
 
 from __future__ import annotations
 
@@ -36,37 +36,37 @@
 
 RETRY_S = 0.2
 STOP_SLACK_S = 0.2
-# A VM on which a run stands still gets nothing for this long.
+# A VM with a stalled run gets no new tasks for this long.
 STALL_PAUSE_S = 2.0
-# A VM whose last answer is older gets no new starts; longer than a look that gets no answer.
-CONTACT_S = 1.3
-# A VM that neither answers nor announces itself for this long is forgotten.
+# A VM whose last answer is older gets no new tasks; longer than the timeout of one unanswered poll.
+CONTACT_TIMEOUT_S = 1.3
+# A VM that neither answers nor announces itself for this long is removed.
 REMOVE_AFTER_S = 20.0
 
 
 class VmLink:
-    """One VM as a leader sees it.
+    """Leader's connection to one VM and its view of the runs there.
 
     Attributes:
-        vm_id: The VM.
-        boot: Boot that the other attributes describe.
-        leadership: Term on whose behalf orders are sent.
+        vm_id: ID of the VM.
+        boot: Boot number of the VM that the other attributes describe.
+        leadership: Term in which orders are sent.
         calls: Client of worker VMs.
-        scale: Learns how far declared durations are off.
-        on_change: Called when a decision may have become possible.
-        polls: Times of the polls of it.
-        poll_limiter: Rate of the polls at all VMs.
-        lease: Bound on the lease of its runs.
-        orders: Orders of this term to it.
-        pace: Pace of its tasks that fill.
-        has_acked_term: Whether the VM answers, with the fencing token of this term.
-        term_acked_at: Local time at which it first answered that token after a silence.
-        unlisted: Runs that it does not list.
-        answered_at: Local time of its last answer.
-        heard_at: Local time of its last answer or announcement.
-        stall_detector: Progress of its runs.
-        listed_runs: Runs that it listed last, by key.
-        failures: Runs that failed there in a row.
+        scale: Learns the ratio of actual to declared run durations.
+        on_change: Called when a change may allow the leader to start tasks.
+        poll_timing: Chooses the wait and the timeout of each poll.
+        poll_limiter: Limits the rate of polls over all VMs.
+        lease: Lease of the VM's runs.
+        orders: Sends orders of this term to the VM.
+        pace: Limits the work rate of best-effort tasks on the VM.
+        has_acked_term: Whether the VM answers and has acknowledged the fencing token of this term.
+        term_acked_at: Local time at which it first acknowledged that token, or did so again after it was silent.
+        unlisted: Resolves runs that the VM does not list.
+        answered_at: Local time of the last answer.
+        heard_at: Local time of the last answer or announcement.
+        stall_detector: Detects runs that make no progress.
+        listed_runs: Runs in the last answer, by run key.
+        failures: Number of runs that failed on the VM since the last success.
     """
 
     __slots__ = (
@@ -83,7 +83,7 @@
         "orders",
         "pace",
         "poll_limiter",
-        "polls",
+        "poll_timing",
         "scale",
         "stall_detector",
         "term_acked_at",
@@ -113,10 +113,10 @@
         self.scale = scale
         self.poll_limiter = poll_limiter
         self.stall_detector = StallDetector()
-        self.polls = PollTiming()
+        self.poll_timing = PollTiming()
         length_s = min(RUN_LEASE_S, limits.longest_lease_s)
-        granted_by_others = lease_expiry(granted_at=leadership.started_at, length_s=length_s)
-        self.lease = VmLease(length_s=length_s, expires_at=granted_by_others)
+        earlier_leases_expire_at = lease_expiry(granted_at=leadership.started_at, length_s=length_s)
+        self.lease = VmLease(length_s=length_s, expires_at=earlier_leases_expire_at)
         self.orders = RunOrders(
             vm_id=vm_id,
             leadership=leadership,
@@ -140,68 +140,68 @@
 
     @property
     def record(self) -> VmRecord | None:
-        """The VM as agreed."""
+        """Record of the VM in the replicated state; None if there is none."""
         return self.leadership.state.tables.vms.get(self.vm_id)
 
     def in_contact(self, now: float) -> bool:
-        """Tells whether orders to the VM are likely to arrive."""
-        return self.has_acked_term and now - self.answered_at <= CONTACT_S
+        """Returns whether the VM answered recently, so that orders are likely to arrive."""
+        return self.has_acked_term and now - self.answered_at <= CONTACT_TIMEOUT_S
 
     async def run(self) -> None:
-        """Looks at the VM and renews its lease for as long as it is known."""
+        """Polls the VM and renews its lease for as long as the VM is registered."""
         while self.record is not None:
             if not self.leadership.may_order():
                 await asyncio.sleep(RETRY_S / 4)
-            elif not await self.poll() and self.polls.lost != 1:
-                # The first look that is lost is repeated at once.
+            elif not await self.poll() and self.poll_timing.consecutive_losses != 1:
+                # The first unanswered poll is retried at once.
                 await asyncio.sleep(RETRY_S)
 
     async def poll(self) -> bool:
-        """Looks at the VM once and tells whether it answered."""
+        """Polls the VM once and returns whether it answered."""
         record = self.record
         if record is None:
             return False
         try:
             await self._poll(record)
         except OtherBootError as error:
-            self.polls.note_answered()
-            await self._give_up_boot(record, reason=str(error))
+            self.poll_timing.record_answer()
+            await self._abandon_boot(record, reason=str(error))
             return False
         except WorkerUnreachableError as error:
-            self.polls.note_lost(now=self.leadership.clock())
-            self._note_silence(record, reason=str(error))
-            await self._conclude_lapsed(record)
+            self.poll_timing.record_loss(now=self.leadership.clock())
+            self._record_silence(record, reason=str(error))
+            await self._end_lapsed_runs(record)
             return False
         return True
 
     async def start(
         self, run: ActiveRun, *, specification: str, checkpoint: str, needs_ticket: bool = False
     ) -> None:
-        """Orders an agreed start and settles it when the VM refuses it."""
+        """Orders a committed start; commits the end of the run if it certainly does not start."""
         end = await self.orders.start(
             run, specification=specification, checkpoint=checkpoint, needs_ticket=needs_ticket
         )
         if end is not None:
-            await self._end([end])
+            await self._propose_ends([end])
 
     async def _poll(self, record: VmRecord) -> None:
         if record.boot != self.boot:
-            self._forget_boot()
+            self._discard_boot()
             self.boot = record.boot
         sent_at = self.leadership.clock()
-        poll_times = self.polls.choose(now=sent_at, has_acked_term=self.has_acked_term)
+        poll_times = self.poll_timing.choose_times(now=sent_at, has_acked_term=self.has_acked_term)
         reply = await self.calls.poll(
             vm=record,
             fencing_token=self.leadership.term,
             last_end=record.last_end,
-            # A VM that is silent gets no new lease: an unanswered look may have extended it.
+            # A silent VM gets no new lease: each unanswered poll may renew the lease, which would then never expire.
             lease_until_ms=self.lease.renew(now=sent_at) if self.has_acked_term else None,
             wait_ms=poll_times.wait_ms,
             timeout_s=poll_times.timeout_s,
         )
-        self.polls.note_answered()
+        self.poll_timing.record_answer()
         if reply.boot != record.boot:
-            await self._take_new_boot(record, boot=reply.boot)
+            await self._register_new_boot(record, boot=reply.boot)
             return
         now = self.leadership.clock()
         self.lease.record_clock(clock_ms=reply.clock_ms, now=now)
@@ -210,24 +210,24 @@
             self.has_acked_term = True
             self.term_acked_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
-        self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
+        self.listed_runs = {f"{listed_run.task}/{listed_run.run}": listed_run for listed_run in reply.running}
         self.orders.record_listed(self.listed_runs, now=now)
-        self._stop_stalled(now)
+        self._stop_stalled_runs(now)
         self.pace.follow(self.listed_runs, now=now)
         if reply.ends:
-            await self._take_ends(record, reply=reply)
-        await self._settle(record, reply=reply, sent_at=sent_at)
+            await self._process_ends(record, reply=reply)
+        await self._resolve_unlisted(record, reply=reply, sent_at=sent_at)
         self.on_change()
         self.poll_limiter.record_poll(now=now)
         if reply.ends and (pause_s := self.poll_limiter.compute_pause_s()):
             await asyncio.sleep(pause_s)
 
-    async def _take_ends(self, record: VmRecord, *, reply: PollReply) -> None:
+    async def _process_ends(self, record: VmRecord, *, reply: PollReply) -> None:
         for listed in reply.ends:
             end = listed.end
-            order_state = self.orders.forget_run(f"{end.task}/{end.run}")
+            order_state = self.orders.discard_run(f"{end.task}/{end.run}")
             if end.outcome is RunOutcome.DONE and order_state is not None:
-                self._learn(end, accepted_at=order_state.accepted_at)
+                self._record_duration(end, accepted_at=order_state.accepted_at)
             if end.outcome is RunOutcome.FAILED:
                 self.failures += 1
             elif end.outcome is RunOutcome.DONE:
@@ -235,41 +235,47 @@
             if end.outcome is not RunOutcome.DONE:
                 log_event(Event.RUN_ENDED, run=f"{end.task}/{end.run}", vm=self.vm_id, outcome=end.outcome)
         ends = [listed.end for listed in reply.ends]
-        await self._end(ends, last_end=reply.ends[-1].number, boot=record.boot)
+        await self._propose_ends(ends, last_end=reply.ends[-1].number, boot=record.boot)
 
-    def _stop_stalled(self, now: float) -> None:
+    def _stop_stalled_runs(self, now: float) -> None:
         workflows = self.leadership.state.tables.workflows
-        for row in self.stall_detector.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
-            key = f"{row.task}/{row.run}"
-            log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
+        for listed_run in self.stall_detector.find_stalled(
+            self.listed_runs.values(), workflows=workflows, now=now
+        ):
+            key = f"{listed_run.task}/{listed_run.run}"
+            log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=listed_run.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
-            self.orders.request_stop(task=row.task, run=row.run, reason="it stands still")
+            self.orders.request_stop(task=listed_run.task, run=listed_run.run, reason="it makes no progress")
 
-    def _learn(self, end: RunEnd, *, accepted_at: float) -> None:
-        real_s = self.leadership.clock() - accepted_at
+    def _record_duration(self, end: RunEnd, *, accepted_at: float) -> None:
+        actual_s = self.leadership.clock() - accepted_at
         task = TaskId.parse(end.task)
         workflow = self.leadership.state.tables.workflows.get(task.workflow)
         if workflow is None:
-            return  # forgotten after its end
+            return  # its record has been deleted
         step = workflow.spec.steps[task.step]
-        if real_s > 0 and step.estimate_ms and not step.long_running:
-            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=real_s * 1000)
+        if actual_s > 0 and step.estimate_ms and not step.long_running:
+            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=actual_s * 1000)
 
-    async def _settle(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
+    async def _resolve_unlisted(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
         if not reply.is_complete:
             return
-        listed = set(self.listed_runs) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
-        settled = self.unlisted.resolve(
+        listed = set(self.listed_runs) | {
+            f"{listed_end.end.task}/{listed_end.end.run}" for listed_end in reply.ends
+        }
+        resolved = self.unlisted.resolve(
             record, listed=listed, sent_at=sent_at, term_acked_at=self.term_acked_at
         )
-        if settled:
-            await self._end(settled)
-        for key, row in self.listed_runs.items():
+        if resolved:
+            await self._propose_ends(resolved)
+        for key, listed_run in self.listed_runs.items():
             if key not in record.runs:
-                # Its end was concluded while the VM was out of contact.
-                self.orders.request_stop(task=row.task, run=row.run, reason="its end was concluded before")
+                # The leader ended the run in the replicated state while the VM was out of contact.
+                self.orders.request_stop(
+                    task=listed_run.task, run=listed_run.run, reason="its end is already committed"
+                )
 
-    async def _end(self, ends: list[RunEnd], *, last_end: int = 0, boot: int | None = None) -> None:
+    async def _propose_ends(self, ends: list[RunEnd], *, last_end: int = 0, boot: int | None = None) -> None:
         record = self.record
         if record is None:
             return
@@ -282,26 +288,26 @@
         )
         await self.leadership.propose(command)
         for end in ends:
-            self.orders.forget_run(f"{end.task}/{end.run}")
+            self.orders.discard_run(f"{end.task}/{end.run}")
 
-    async def _conclude_lapsed(self, record: VmRecord) -> None:
+    async def _end_lapsed_runs(self, record: VmRecord) -> None:
         if not record.runs or self.leadership.clock() <= self.lease.expires_at:
             return
         log_event(Event.LEASE_ENDED, vm=self.vm_id, runs=len(record.runs))
         self.listed_runs = {}
-        await self._end(make_run_ends(record, RunOutcome.LAPSED))
+        await self._propose_ends(make_run_ends(record, RunOutcome.LAPSED))
         self.on_change()
 
-    async def _give_up_boot(self, record: VmRecord, *, reason: str) -> None:
+    async def _abandon_boot(self, record: VmRecord, *, reason: str) -> None:
         log_event(Event.VM_GONE, vm=self.vm_id, reason=reason)
-        self._forget_boot()
+        self._discard_boot()
         if record.runs:
-            await self._end(make_run_ends(record, RunOutcome.LOST))
+            await self._propose_ends(make_run_ends(record, RunOutcome.LOST))
             self.on_change()
 
-    async def _take_new_boot(self, record: VmRecord, *, boot: int) -> None:
+    async def _register_new_boot(self, record: VmRecord, *, boot: int) -> None:
         log_event(Event.VM_GONE, vm=self.vm_id, reason=f"boot {boot} follows {record.boot}")
-        self._forget_boot()
+        self._discard_boot()
         await self.leadership.propose(
             RegisterVm(
                 vm=record.vm_id,
@@ -317,14 +323,14 @@
         )
         self.on_change()
 
-    def _forget_boot(self) -> None:
+    def _discard_boot(self) -> None:
         self.has_acked_term = False
         self.listed_runs = {}
-        self.orders.forget_boot()
-        self.lease.forget_clock()
+        self.orders.discard_boot()
+        self.lease.clear_clock()
 
-    def _note_silence(self, record: VmRecord, *, reason: str) -> None:
-        if self.leadership.clock() - self.answered_at > CONTACT_S and self.has_acked_term:
+    def _record_silence(self, record: VmRecord, *, reason: str) -> None:
+        if self.leadership.clock() - self.answered_at > CONTACT_TIMEOUT_S and self.has_acked_term:
             log_event(Event.VM_SILENT, vm=self.vm_id, address=record.address, reason=reason)
             self.has_acked_term = False
             self.on_change()
--- a/src/hyssopway/dispatch/worker_calls.py
+++ b/src/hyssopway/dispatch/worker_calls.py
@@ -1,4 +1,4 @@
-"""Orders to worker VMs."""
+"""Client protocol for the calls of a leader to worker VMs."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class WorkerUnreachableError(Exception):
-    """A VM gave no usable answer; the order may have been carried out or may be later."""
+    """A VM gave no usable answer; it may have carried out the order, or may still do so."""
 
 
 class OtherBootError(Exception):
-    """Another VM or boot answers at the address of a VM, so that VM has ended."""
+    """Another VM or boot answers at the address of a VM, so the expected boot has ended."""
 
 
 class WorkerCalls(Protocol):
     """Client of worker VMs.
 
-    Every call raises `WorkerUnreachableError` when there is no usable answer within `timeout_s`. Times of leases
-    are on the steady clock of the VM.
+    Every call raises `WorkerUnreachableError` if there is no usable answer within `timeout_s`. Leases are given as
+    times on the monotonic clock of the VM.
     """
 
     async def poll(
@@ -36,10 +36,10 @@
         wait_ms: int,
         timeout_s: float,
     ) -> PollReply:
-        """Renews the lease of all runs of a VM and lists them.
+        """Renews the lease of all runs of a VM, if one is given, and lists the runs.
 
         Raises:
-            OtherBootError: Another VM answers at the address.
+            OtherBootError: Another VM or boot answers at the address.
         """
         ...
 
@@ -56,19 +56,19 @@
         fencing_token: int,
         timeout_s: float,
     ) -> OrderReply:
-        """Starts a run; `ticket` is empty unless the queue has an advisor."""
+        """Starts a run; `ticket` is empty if the queue has no advisor."""
         ...
 
     async def stop(
         self, *, vm: VmRecord, task: str, run: int, fencing_token: int, timeout_s: float
     ) -> OrderReply:
-        """Stops a run; a run that has not arrived yet is refused from then on."""
+        """Stops a run; the VM refuses a start of it that arrives later."""
         ...
 
     async def pace(
         self, *, vm: VmRecord, task: str, run: int, percent: int, fencing_token: int, timeout_s: float
     ) -> OrderReply:
-        """Limits the share of its work that a run may do."""
+        """Limits a run to a percentage of its full work rate."""
         ...
 
 
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -1,4 +1,4 @@
-"""A leader without a network: commands apply at once, VMs answer as told."""
+"""Fakes of a leader and its VMs without a network."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class FakeLeadership:
-    """A term whose commands apply at once."""
+    """Term of a leader whose commands are applied at once."""
 
     def __init__(self):
         self.state = WorkflowState()
@@ -48,11 +48,11 @@
 
 
 class FakeVms:
-    """VMs that run what they are told; each may be silent, or lose the next calls.
+    """Fake worker VMs that can be silent or lose calls.
 
     Attributes:
-        lose: Number of calls that get no answer from now on.
-        timeouts: Seconds that each call waited for an answer at most.
+        lose: Number of the next calls that get no answer.
+        timeouts: Timeout of each call, in seconds.
     """
 
     def __init__(self, leadership):
--- a/tests/dispatch/model_worker.py
+++ b/tests/dispatch/model_worker.py
@@ -1,4 +1,4 @@
-"""A worker VM with the platform's rules for orders, and a network that loses and delays them."""
+"""Models a worker VM that follows the platform's rules for orders, and a network that loses and delays orders."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 @dataclass(slots=True, kw_only=True)
 class ModelWorker:
-    """State of one VM; its steady clock runs at the slowest allowed rate.
+    """State of one VM whose monotonic clock runs at the slowest allowed rate.
 
     Attributes:
-        name: Identity.
-        boot: Present boot.
-        clock_ms: Its steady clock.
+        name: ID of the VM.
+        boot: Current boot number.
+        clock_ms: Monotonic clock of the VM.
         token: Highest fencing token seen.
         lease_until_ms: End of the lease of all runs.
-        live: Runs that work, by task.
-        stopping: Runs that still work until a time of the clock.
-        closed: Highest run of each task that was stopped or ended here.
-        ends: Ends that are not acknowledged.
-        count: Number of the last end.
+        live: Numbers of the running runs, by task.
+        stopping: Runs that are stopping and still work, with the time on the VM's clock at which they end, by task.
+        closed: Highest run number of each task that was stopped or has ended on the VM.
+        ends: Ends that have not been acknowledged.
+        count: Sequence number of the last end.
     """
 
     name: str
@@ -105,19 +105,20 @@
 
 
 class ModelNetwork:
-    """Implements `WorkerCalls`; `fate` says what happens to the next orders.
+    """Implements `WorkerCalls` over a network that injects faults.
 
     Attributes:
-        workers: VMs by identity.
-        fate: `deliver`, `lose` (not carried out), `mute` (carried out, no answer), `delay` (carried out later) or
-            `delay_first` (the next order is carried out later, those after it are delivered).
-        delayed: Orders that are still on their way.
+        workers: VMs by ID.
+        fault: What happens to the next orders: `deliver` (no fault), `lose` (not carried out), `mute` (carried out but
+            not answered), `delay` (carried out later) or `delay_first` (the next order is carried out later, those
+            after it are delivered).
+        delayed: Orders that are still in flight.
     """
 
     def __init__(self, *, workers, stop_s):
         self.workers = workers
         self.stop_s = stop_s
-        self.fate = "deliver"
+        self.fault = "deliver"
         self.delayed = []
 
     async def poll(self, *, vm, fencing_token, last_end, lease_until_ms, wait_ms, timeout_s):
@@ -153,18 +154,18 @@
             try:
                 order()
             except WorkerUnreachableError:
-                continue  # a refusal of a late order reaches nobody
+                continue  # the sender no longer waits for the answer
         self.delayed = []
 
     def _send(self, order):
-        fate = self.fate
-        if fate == "delay_first":
-            self.fate, fate = "deliver", "delay"
-        if fate == "delay":
+        fault = self.fault
+        if fault == "delay_first":
+            self.fault, fault = "deliver", "delay"
+        if fault == "delay":
             self.delayed.append(order)
-        if fate in ("delay", "lose"):
-            raise WorkerUnreachableError(fate)
+        if fault in ("delay", "lose"):
+            raise WorkerUnreachableError(fault)
         answer = order()
-        if fate == "mute":
-            raise WorkerUnreachableError(fate)
+        if fault == "mute":
+            raise WorkerUnreachableError(fault)
         return answer
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -1,4 +1,4 @@
-"""VMs that left, and reports of them that arrive late at another leader."""
+"""Tests the departure of VMs, and announcements that arrive late at another leader."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 async def controller(fleet, vms):
-    """A leader that has just taken over, of VMs that do not answer; it knows no report of before."""
+    """A new leader that has no announcement yet, with VMs that don't answer."""
     vms.silent = True
     built = LeaderController(leadership=fleet, calls=vms, machines=None, advisor=None, limits=LIMITS)
     yield built
@@ -23,11 +23,11 @@
     await asyncio.gather(*built.tasks.values(), return_exceptions=True)
 
 
-async def test_late_report_of_a_vm_that_left_brings_it_no_work(controller, fleet, vms):
-    """Guards against a server that left and is in use again after a change of leader.
+async def test_late_announcement_of_a_departed_vm_gets_it_no_tasks(controller, fleet, vms):
+    """Guards against placing tasks on a VM that has left, after a change of leader.
 
-    Reports that a partition held up arrive after the departure. The leader cannot know their age, so the VM is known
-    again, but it gets no start before it answers under its identity, and it is forgotten when it stays silent.
+    Announcements delayed by a partition arrive after the departure. The leader can't tell their age, so it registers
+    the VM again. The VM must get no start before it answers a poll, and must be removed if it stays silent.
     """
     await controller.handle_departure(vm="vm-1")
     assert "vm-1" not in fleet.state.tables.vms
@@ -38,20 +38,20 @@
     await controller.dispatcher.start_waiting()
     assert vms.orders == []
     fleet.now += REMOVE_AFTER_S + 1.0
-    await controller._forget_silent()
+    await controller._remove_silent_vms()
     assert "vm-1" not in fleet.state.tables.vms
 
 
-async def test_late_report_of_an_earlier_boot_changes_nothing(controller, fleet):
-    """Guards against an address and a pool of a life that has ended."""
+async def test_late_announcement_of_an_earlier_boot_changes_nothing(controller, fleet):
+    """Guards against overwriting a VM's record with data of an earlier boot."""
     await controller.handle_announcement(make_vm("vm-1", boot=5))
     await controller.handle_announcement(make_vm("vm-1", boot=4, draining=True))
     record = fleet.state.tables.vms["vm-1"]
     assert (record.boot, record.draining) == (5, False)
 
 
-async def test_late_report_does_not_end_a_drain(controller, fleet):
-    """Guards against new work on a VM that said it leaves, because an older report overtook that word."""
+async def test_late_announcement_does_not_end_a_drain(controller, fleet):
+    """Guards against starting tasks on a draining VM because an older announcement arrives after the drain began."""
     await controller.handle_announcement(make_vm("vm-1", draining=True))
     await controller.handle_announcement(make_vm("vm-1", draining=False))
     assert fleet.state.tables.vms["vm-1"].draining
--- a/tests/dispatch/test_interruption.py
+++ b/tests/dispatch/test_interruption.py
@@ -1,4 +1,4 @@
-"""Interruptions of long-running tasks."""
+"""Tests the disruption allowance of long-running tasks."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     ("away", "allowed"),
     [((), True), (("w.0.0.1/1",), True), (("w.0.0.1/1", "w.0.0.2/1"), False)],
 )
-def test_allowance_counts_other_tasks_that_are_away(tables, away, allowed):
-    """Guards against an interruption beside others that are not back at work."""
+def test_allowance_counts_other_tasks_that_are_down(tables, away, allowed):
+    """Guards against interrupting a task while other tasks of its step are still down."""
     task = TaskId("w", 0, 0, 0)
-    assert may_interrupt(tables=tables, task=task, is_at_work=lambda key: key not in away) is allowed
+    assert may_interrupt(tables=tables, task=task, is_working=lambda key: key not in away) is allowed
--- a/tests/dispatch/test_lease.py
+++ b/tests/dispatch/test_lease.py
@@ -1,4 +1,4 @@
-"""Bounds on leases whose clock may be slow."""
+"""Tests the expiry of leases on VMs whose clock may run slow."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 def test_no_lease_without_a_reading_of_the_clock(lease):
-    """Guards against a lease on a clock that was guessed."""
+    """Guards against granting a lease before the VM's clock is known."""
     assert lease.renew(now=5.0) is None
     assert lease.expires_at == 10.0
 
 
 @pytest.mark.parametrize("rate", [1 - CLOCK_DRIFT, 1.0])
 def test_lease_has_ended_on_the_clock_of_the_vm(lease, rate):
-    """Guards against a second run while the first one still has a lease."""
+    """Guards against starting a second run while the first one still holds a lease."""
     read_at, read_ms = 100.0, 50_000
     lease.record_clock(clock_ms=read_ms, now=read_at)
     until_ms = lease.renew(now=103.0)
@@ -29,7 +29,7 @@
 
 
 def test_earlier_grant_is_not_shortened(lease):
-    """Guards against a lease of a former leader that is forgotten."""
+    """Guards against ignoring a longer lease that an earlier leader granted."""
     lease.record_clock(clock_ms=0, now=0.0)
     lease.renew(now=0.0)
     assert lease.expires_at == 10.0
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_order_protocol.py
@@ -1,6 +1,6 @@
-"""The leader's protocol with its VMs, driven through lost, delayed and repeated orders and changes of leader.
+"""Stateful property test of the leader's protocol with its VMs: lost, delayed and repeated orders, changes of leader.
 
-Fixed examples run with the other tests; `HYSSOPWAY_FRESH=1 pytest tests/dispatch/test_holder_machine.py` draws fresh ones.
+The examples are fixed by default; `HYSSOPWAY_FRESH=1 pytest tests/dispatch/test_order_protocol.py` draws new ones.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 VMS = ("vm-1", "vm-2")
 MAX_ATTEMPTS = 2
-FATES = st.sampled_from(["deliver", "deliver", "deliver", "deliver", "lose", "mute", "delay", "delay_first"])
+FAULTS = st.sampled_from(["deliver", "deliver", "deliver", "deliver", "lose", "mute", "delay", "delay_first"])
 SOME_VMS = st.sampled_from([VMS, VMS, ("vm-1",), ("vm-2",)])
 
 
-class Holder(RuleBasedStateMachine):
-    """One workflow of two steps on two VMs; leaders follow each other."""
+class OrderProtocol(RuleBasedStateMachine):
+    """One workflow of two steps on two VMs under a succession of leaders."""
 
     def __init__(self):
         super().__init__()
@@ -59,7 +59,7 @@
     def lead(self):
         self.links = {name: make_link(name, leadership=self.leader, calls=self.network) for name in VMS}
 
-    def settle_tasks(self):
+    def run_pending_tasks(self):
         for _ in range(4):
             self.run(asyncio.sleep(0))
 
@@ -67,15 +67,15 @@
     def workflow(self):
         return self.leader.state.tables.workflows["w"]
 
-    @rule(fate=FATES, first=st.sampled_from(VMS))
-    def start_waiting(self, fate, first):
-        """Places every task that waits on a VM in contact."""
+    @rule(fault=FAULTS, first=st.sampled_from(VMS))
+    def start_waiting(self, fault, first):
+        """Places every waiting task on a VM in contact."""
         names = (first, *(name for name in VMS if name != first))
         found = [name for name in names if self.links[name].in_contact(self.leader.now)]
         if self.workflow.status.is_final or not found:
             return
         first, link = found[0], self.links[found[0]]
-        self.network.fate = fate
+        self.network.fault = fault
         for number, progress in enumerate(self.workflow.progress[0]):
             if not self.workflow.is_step_ready(occurrence=0, step=number):
                 continue
@@ -86,30 +86,30 @@
                 for active in self.leader.state.tables.runs.get(start.task, ()):
                     assert start.task not in self.seen_done
                     self.run(link.start(active, specification="", checkpoint=""))
-        self.network.fate = "deliver"
+        self.network.fault = "deliver"
 
-    @rule(names=SOME_VMS, fate=FATES)
-    def poll(self, names, fate):
-        """Looks at VMs; the stops that follow meet the same fate."""
-        self.network.fate = fate
+    @rule(names=SOME_VMS, fault=FAULTS)
+    def poll(self, names, fault):
+        """Polls VMs; the same fault applies to the stops that follow."""
+        self.network.fault = fault
         for name in names:
             self.run(self.links[name].poll())
-        self.settle_tasks()
-        self.network.fate = "deliver"
+        self.run_pending_tasks()
+        self.network.fault = "deliver"
 
-    @rule(fate=FATES)
-    def stop_unwanted(self, fate):
-        """Stops what serves nothing any more."""
-        self.network.fate = fate
+    @rule(fault=FAULTS)
+    def stop_unwanted(self, fault):
+        """Stops runs that are no longer needed."""
+        self.network.fault = fault
         self.run(self.stop_runs(self.leader.state.indexes.unwanted))
-        self.network.fate = "deliver"
+        self.network.fault = "deliver"
 
-    @rule(name=st.sampled_from(VMS), fate=FATES)
-    def empty_vm(self, name, fate):
-        """Stops what runs on a VM, as for its maintenance."""
-        self.network.fate = fate
+    @rule(name=st.sampled_from(VMS), fault=FAULTS)
+    def drain_vm(self, name, fault):
+        """Stops all runs on a VM, as for its maintenance."""
+        self.network.fault = fault
         self.run(self.stop_runs(dict.fromkeys(self.leader.state.tables.vms[name].runs, name)))
-        self.network.fate = "deliver"
+        self.network.fault = "deliver"
 
     async def stop_runs(self, runs):
         for key, vm in sorted(runs.items()):
@@ -136,12 +136,12 @@
 
     @rule()
     def deliver_delayed(self):
-        """Carries out orders that were on their way."""
+        """Delivers orders that were in flight."""
         self.network.deliver_delayed()
 
     @rule(name=st.sampled_from(VMS))
     def restart_vm(self, name):
-        """Ends a VM, which starts again under its identity and announces itself."""
+        """Restarts a VM, which announces itself again under the same ID."""
         self.workers[name].restart()
         vm = make_vm(name)
         fields = {
@@ -152,7 +152,7 @@
 
     @rule()
     def change_leader(self):
-        """Replaces the leader; the former one orders nothing any more."""
+        """Replaces the leader; the former one sends no more orders."""
         state, now = self.leader.state, self.leader.now
         self.leader.is_confirmed = False
         term = self.leader.term + 1
@@ -161,21 +161,21 @@
         self.leader.term = term
         self.lead()
 
-    @rule(is_meant=st.sampled_from([False, False, False, False, True]))
-    def cancel(self, is_meant):
-        """Cancels the workflow, now and then."""
-        if is_meant:
+    @rule(should_cancel=st.sampled_from([False, False, False, False, True]))
+    def cancel(self, should_cancel):
+        """Cancels the workflow in one of five draws."""
+        if should_cancel:
             self.run(self.leader.propose(CancelWorkflow(workflow_id="w", at_ms=0)))
 
     @invariant()
     def no_task_runs_twice(self):
-        """A task works on one VM at most."""
+        """A task runs on at most one VM."""
         working = [task for worker in self.workers.values() for task in worker.working()]
         assert len(working) == len(set(working)), working
 
     @invariant()
     def done_tasks_stay_done(self):
-        """A task whose end is agreed as done never starts again."""
+        """A task that is committed as done never runs again."""
         for number, progress in enumerate(self.workflow.progress[0]):
             for index, done in enumerate(progress.done):
                 task = f"w.0.{number}.{index}"
@@ -185,14 +185,14 @@
 
     @invariant()
     def steps_keep_their_order(self):
-        """A task of the second step works only when the first step is done."""
+        """A task of the second step runs only after the first step is done."""
         is_first_done = all(self.workflow.progress[0][0].done)
         second = any("w.0.1.0" in worker.live for worker in self.workers.values())
         assert is_first_done or not second
 
     @invariant()
     def attempts_are_bounded(self):
-        """A workflow whose task failed as often as allowed has failed."""
+        """A workflow whose task failed the maximum number of times has failed."""
         for progress in self.workflow.progress[0]:
             if max(progress.failures) >= MAX_ATTEMPTS:
                 assert self.workflow.status in (WorkflowStatus.FAILED, WorkflowStatus.CANCELLED)
@@ -202,8 +202,8 @@
         self.loop.close()
 
 
-TestHolder = Holder.TestCase
-TestHolder.settings = settings(
+TestOrderProtocol = OrderProtocol.TestCase
+TestOrderProtocol.settings = settings(
     max_examples=80,
     stateful_step_count=40,
     derandomize=not os.environ.get("HYSSOPWAY_FRESH"),
--- a/tests/dispatch/test_pool_mover.py
+++ b/tests/dispatch/test_pool_mover.py
@@ -11,7 +11,7 @@
 from hyssopway.dispatch.dispatcher import Dispatcher
 from hyssopway.dispatch.emptying import Emptying
 from hyssopway.dispatch.machine_list import MachineList
-from hyssopway.dispatch.order_rate_limiter import KEEP_S, RATE_SHARE
+from hyssopway.dispatch.order_rate_limiter import BURST_S, RATE_SHARE
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.pool_mover import PoolMover
 from hyssopway.dispatch.work_scale import WorkScale
@@ -110,4 +110,4 @@
 async def test_machines_of_a_turn_are_ordered_together(mover, platform):
     """Guards against a pool that waits for its machines while orders follow each other one by one."""
     await step(mover, waiting_millis=8 * 8000)
-    assert platform.at_once == len(platform.moves) == int(LIMITS.machine_orders_per_s * RATE_SHARE * KEEP_S)
+    assert platform.at_once == len(platform.moves) == int(LIMITS.machine_orders_per_s * RATE_SHARE * BURST_S)
--- a/tests/dispatch/test_resolution.py
+++ b/tests/dispatch/test_resolution.py
@@ -1,4 +1,4 @@
-"""What became of runs that a VM does not list."""
+"""Tests the resolution of runs that a VM does not list."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     ],
 )
 def test_resolution(flight, run_token, sent_at, expected):
-    """Guards against a guess about an order that may still be carried out."""
+    """Guards against resolving a run whose start may still be carried out."""
     decision = resolve_unlisted(
         order_state=flight,
         run_token=run_token,
--- a/tests/dispatch/test_rtt_estimator.py
+++ b/tests/dispatch/test_rtt_estimator.py
@@ -1,4 +1,4 @@
-"""When orders without an answer are repeated."""
+"""Tests when unanswered orders are retried."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def test_step_of_eight_tasks_starts_in_time_on_vms_that_lose_orders():
-    """Guards against steps that are late because one of eight orders has to be repeated.
+    """Guards against late steps because one of eight orders has to be retried.
 
-    Replays VMs that answer in 5 ms and leave 0.3 of the orders unanswered; the objective of short steps is 0.6 s.
+    Simulates VMs that answer in 5 ms and leave 30% of the orders unanswered. Short steps have an objective of 0.6 s.
     """
     rng = random.Random(7)
     timeouts = with_answers(*[0.005] * 50).choose_timeouts()
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("took_s", [0.1, 0.2, 0.4])
 def test_slow_answers_are_waited_for(took_s):
-    """Guards against a leader at its peak that repeats orders whose answers are on their way."""
+    """Guards against a leader at peak load that retries orders whose answers are in flight."""
     rng = random.Random(8)
     estimator = with_answers(*(took_s * rng.uniform(0.7, 1.3) for _ in range(50)))
     assert estimator.choose_timeouts()[0] >= min(took_s * 1.3, MAX_TIMEOUT_S)
@@ -43,6 +43,6 @@
 
 @pytest.mark.parametrize("took_s", [0.0, 0.005, 0.1, 5.0])
 def test_order_is_given_up_in_bounded_time(took_s):
-    """Guards against a task that waits for a VM that is gone."""
+    """Guards against a task that waits too long for a VM that is gone."""
     timeouts = with_answers(*[took_s] * 50).choose_timeouts()
     assert RETRY_WINDOW_S <= sum(timeouts) <= RETRY_WINDOW_S + MAX_TIMEOUT_S
--- a/tests/dispatch/test_vm_link.py
+++ b/tests/dispatch/test_vm_link.py
@@ -1,4 +1,4 @@
-"""Contact with one VM that is lost, reborn or answers late."""
+"""Tests the link to a VM that falls silent, reboots, or answers late."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def poll(link, *, times=1, step_s=0.0):
-    """Runs the link for some looks; the clock of the leader moves in between."""
+    """Polls the VM some times; the leader's clock advances by `step_s` before each poll."""
     for _ in range(times):
         link.leadership.now += step_s
         await link.poll()
@@ -35,7 +35,7 @@
 
 
 async def test_silent_vm_loses_its_runs_after_the_lease(link, vms):
-    """Guards against a lease that each unanswered look extends, so that its runs are never taken as ended."""
+    """Guards against unanswered polls that renew the lease, so that the runs of a silent VM never end."""
     await poll(link)
     await start(link)
     await poll(link, step_s=0.5)
@@ -47,7 +47,7 @@
 
 
 async def test_runs_are_kept_while_the_lease_may_last(link, vms):
-    """Guards against a second run while the VM may still work on the first."""
+    """Guards against starting a second run of a task while the VM may still work on the first."""
     await poll(link)
     await start(link)
     await poll(link)
@@ -59,7 +59,7 @@
 
 
 async def test_end_is_agreed_before_it_is_acknowledged(link, vms):
-    """Guards against an end that the VM forgets and nobody knows."""
+    """Guards against acknowledging an end that is not committed: the VM would discard it and it would be lost."""
     await poll(link)
     await start(link)
     vms.running.clear()
@@ -71,8 +71,8 @@
     assert tables.vms["vm-1"].last_end == 1
 
 
-async def test_new_boot_under_the_same_identity_loses_the_runs(link, vms):
-    """Guards against runs that are waited for on a VM that holds nothing of before."""
+async def test_new_boot_under_the_same_id_loses_the_runs(link, vms):
+    """Guards against waiting for runs of an earlier boot that the VM no longer has."""
     await poll(link)
     await start(link)
     vms.boot, vms.running = 2, {}
@@ -81,8 +81,8 @@
     assert (tables.vms["vm-1"].boot, tables.runs) == (2, {})
 
 
-async def test_unanswered_start_is_stopped_and_settled(link, vms):
-    """Guards against a task that waits for ever for an order that was lost."""
+async def test_unanswered_start_is_stopped_and_resolved(link, vms):
+    """Guards against a task that waits forever after its start order was lost."""
     await poll(link)
     vms.silent = True
     await start(link)
@@ -97,19 +97,17 @@
 
 @pytest.mark.parametrize("lost", [1, 2, 3])
 async def test_unanswered_start_is_repeated(link, vms, lost):
-    """Guards against tasks that wait for a stop and its end each time that a VM leaves an order unanswered."""
+    """Guards against delaying a task by a stop and its confirmation whenever a single order gets no answer."""
     await poll(link)
     vms.lose, vms.timeouts = lost, []
     await start(link)
     assert vms.orders == [("start", "w.0.0.0", 1)] * (lost + 1)
     assert vms.running == {("w.0.0.0", 1): "vm-1"}
-    assert sum(vms.timeouts[:-1]) <= 0.6, (
-        "a task whose objective is 0.6 s is late before the order is repeated"
-    )
+    assert sum(vms.timeouts[:-1]) <= 0.6, "the order is retried too late for a task whose objective is 0.6 s"
 
 
-async def test_refusal_of_a_repeated_start_settles_nothing(link, vms, monkeypatch):
-    """Guards against a second run while an earlier copy of the order may still be carried out."""
+async def test_refusal_of_a_repeated_start_resolves_nothing(link, vms, monkeypatch):
+    """Guards against starting a second run while an earlier copy of the order may still be carried out."""
 
     async def refuse(**_):
         return OrderReply(refusal=Refusal.NO_ROOM)
@@ -125,7 +123,7 @@
 
 
 async def test_repeated_start_grants_no_longer_lease(link, vms, monkeypatch):
-    """Guards against the runs of a VM that is gone being waited for a second longer for each order on its way."""
+    """Guards against retries that extend the lease, so that the leader waits longer for the runs of a VM that is gone."""
     await poll(link)
     first_at = link.leadership.now
 
@@ -140,7 +138,7 @@
 
 
 async def test_start_is_not_repeated_once_the_vm_lists_the_run(link, vms, monkeypatch):
-    """Guards against orders for runs that are known to have started."""
+    """Guards against retrying the start of a run that the VM already lists."""
     await poll(link)
 
     async def carry_out_unanswered(*, vm, task, run, **_):
@@ -155,7 +153,7 @@
 
 
 async def test_unanswered_stop_is_repeated(link, vms):
-    """Guards against cancelled work that goes on for half a second for each lost stop."""
+    """Guards against cancelled runs that continue for half a second longer for each lost stop."""
     await poll(link)
     await start(link)
     vms.lose = 2
@@ -165,8 +163,8 @@
     assert link.orders.order_states["w.0.0.0/1"].stopped_at == link.leadership.now
 
 
-async def test_vm_that_leaves_looks_unanswered_is_looked_at_more_often(link, vms):
-    """Guards against ends that are seen a second late when a VM leaves a share of all calls unanswered."""
+async def test_vm_that_leaves_polls_unanswered_is_polled_more_often(link, vms):
+    """Guards against seeing ends a second late when a VM leaves a share of all calls unanswered."""
     await poll(link, times=2)
     calm_s = vms.timeouts[-1]
     vms.lose = 1
@@ -177,7 +175,7 @@
 
 
 async def test_slow_vm_is_given_time_to_answer(link, vms):
-    """Guards against a slow VM that is taken for silent because each short look ends before its answer."""
+    """Guards against taking a slow VM for silent because each short poll times out before its answer."""
     await poll(link, times=2)
     vms.lose = 3
     await poll(link, times=4)
@@ -185,7 +183,7 @@
 
 
 async def test_unconfirmed_leader_orders_nothing(link, vms):
-    """Guards against orders of a leader that may have a successor."""
+    """Guards against orders from a leader whose lease is no longer valid, because another one may be elected."""
     await poll(link)
     link.leadership.is_confirmed = False
     await start(link)
