--- a/src/hyssopway/dispatch/resolution.py
+++ b/src/hyssopway/dispatch/resolution.py
@@ -18,8 +18,8 @@
 
     WAIT = auto()  # the start is in flight, or the run may be stopping
     STOP = auto()  # the start may still arrive; a stop makes the VM refuse it
-    NOT_STARTED = auto()  # the run never started and can no longer start
-    LOST = auto()  # the VM accepted the run and lists it neither as running nor as ended
+    NEVER_RAN = auto()  # the run never started and can no longer start
+    VANISHED = auto()  # the VM accepted the run and lists it neither as running nor as ended
 
 
 def resolve_unlisted(
@@ -55,7 +55,7 @@
         return Resolution.STOP
     if listing_sent_at < max(order_final_since, order_state.unlisted_since) + stop_s:
         return Resolution.WAIT
-    return Resolution.LOST if was_accepted else Resolution.NOT_STARTED
+    return Resolution.VANISHED if was_accepted else Resolution.NEVER_RAN
 
 
 __all__ = ["Resolution", "resolve_unlisted"]
--- a/src/hyssopway/dispatch/stall_detector.py
+++ b/src/hyssopway/dispatch/stall_detector.py
@@ -51,17 +51,17 @@
         Long-running, best-effort and gang-scheduled tasks are not checked.
         """
         candidates: list[tuple[ListedRun, int]] = []
-        for run in runs:
-            task = TaskId.parse(run.task)
+        for row in runs:
+            task = TaskId.parse(row.task)
             workflow = workflows.get(task.workflow)
             step = workflow.spec.steps[task.step] if workflow is not None else None
             if step is not None and not step.long_running and not step.fills and not step.gang:
-                candidates.append((run, step.estimate_ms))
-        self.update(((f"{run.task}/{run.run}", run.percent) for run, _ in candidates), now=now)
+                candidates.append((row, step.estimate_ms))
+        self.update(((f"{row.task}/{row.run}", row.percent) for row, _ in candidates), now=now)
         return [
-            run
-            for run, declared_ms in candidates
-            if self.is_stalled(f"{run.task}/{run.run}", declared_ms=declared_ms, now=now)
+            row
+            for row, declared_ms in candidates
+            if self.is_stalled(f"{row.task}/{row.run}", declared_ms=declared_ms, now=now)
         ]
 
     def is_stalled(self, key: str, *, declared_ms: float, now: float) -> bool:
--- a/src/hyssopway/dispatch/unlisted_runs.py
+++ b/src/hyssopway/dispatch/unlisted_runs.py
@@ -62,9 +62,9 @@
             match decision:
                 case Resolution.STOP:
                     self.orders.request_stop(task=run.task, run=run.run, reason="its start got no answer")
-                case Resolution.NOT_STARTED:
+                case Resolution.NEVER_RAN:
                     ends.append(make_run_end(run, RunOutcome.NOT_STARTED))
-                case Resolution.LOST:
+                case Resolution.VANISHED:
                     ends.append(make_run_end(run, RunOutcome.LOST))
                 case Resolution.WAIT:
                     pass
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -210,7 +210,7 @@
             self.has_acked_term = True
             self.term_acked_at = now
             log_event(Event.VM_HELD, vm=self.vm_id, token=self.leadership.term, runs=len(reply.running))
-        self.listed_runs = {f"{listed_run.task}/{listed_run.run}": listed_run for listed_run in reply.running}
+        self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
         self.orders.record_listed(self.listed_runs, now=now)
         self._stop_stalled_runs(now)
         self.pace.follow(self.listed_runs, now=now)
@@ -239,13 +239,11 @@
 
     def _stop_stalled_runs(self, now: float) -> None:
         workflows = self.leadership.state.tables.workflows
-        for listed_run in self.stall_detector.find_stalled(
-            self.listed_runs.values(), workflows=workflows, now=now
-        ):
-            key = f"{listed_run.task}/{listed_run.run}"
-            log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=listed_run.percent)
+        for row in self.stall_detector.find_stalled(self.listed_runs.values(), workflows=workflows, now=now):
+            key = f"{row.task}/{row.run}"
+            log_event(Event.RUN_STALLED, run=key, vm=self.vm_id, percent=row.percent)
             self.orders.paused_until = now + STALL_PAUSE_S
-            self.orders.request_stop(task=listed_run.task, run=listed_run.run, reason="it makes no progress")
+            self.orders.request_stop(task=row.task, run=row.run, reason="it makes no progress")
 
     def _record_duration(self, end: RunEnd, *, accepted_at: float) -> None:
         actual_s = self.leadership.clock() - accepted_at
@@ -260,20 +258,16 @@
     async def _resolve_unlisted(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
         if not reply.is_complete:
             return
-        listed = set(self.listed_runs) | {
-            f"{listed_end.end.task}/{listed_end.end.run}" for listed_end in reply.ends
-        }
+        listed = set(self.listed_runs) | {f"{one.end.task}/{one.end.run}" for one in reply.ends}
         resolved = self.unlisted.resolve(
             record, listed=listed, sent_at=sent_at, term_acked_at=self.term_acked_at
         )
         if resolved:
             await self._propose_ends(resolved)
-        for key, listed_run in self.listed_runs.items():
+        for key, row in self.listed_runs.items():
             if key not in record.runs:
                 # The leader ended the run in the replicated state while the VM was out of contact.
-                self.orders.request_stop(
-                    task=listed_run.task, run=listed_run.run, reason="its end is already committed"
-                )
+                self.orders.request_stop(task=row.task, run=row.run, reason="its end is already committed")
 
     async def _propose_ends(self, ends: list[RunEnd], *, last_end: int = 0, boot: int | None = None) -> None:
         record = self.record
--- a/tests/dispatch/test_resolution.py
+++ b/tests/dispatch/test_resolution.py
@@ -22,18 +22,18 @@
             id="being stopped",
         ),
         pytest.param(
-            OrderState(unlisted_since=4.0), 3, 5.0, Resolution.NOT_STARTED, id="order of a fenced leader"
+            OrderState(unlisted_since=4.0), 3, 5.0, Resolution.NEVER_RAN, id="order of a fenced leader"
         ),
         pytest.param(
-            OrderState(unlisted_since=5.0), 4, 5.0, Resolution.STOP, id="own order that is not known any more"
+            OrderState(unlisted_since=5.0), 4, 5.0, Resolution.STOP, id="own order whose state was discarded"
         ),
-        pytest.param(OrderState(is_sending=True), 4, 5.0, Resolution.WAIT, id="order on its way"),
-        pytest.param(OrderState(), 4, 5.0, Resolution.STOP, id="order without an answer"),
+        pytest.param(OrderState(is_sending=True), 4, 5.0, Resolution.WAIT, id="start in flight"),
+        pytest.param(OrderState(), 4, 5.0, Resolution.STOP, id="unanswered start"),
         pytest.param(
             OrderState(stopped_at=4.0, unlisted_since=3.0),
             4,
             5.0,
-            Resolution.NOT_STARTED,
+            Resolution.NEVER_RAN,
             id="stopped before it arrived",
         ),
         pytest.param(
@@ -48,7 +48,7 @@
             OrderState(accepted_at=3.0, unlisted_since=4.0),
             4,
             5.0,
-            Resolution.LOST,
+            Resolution.VANISHED,
             id="accepted and gone",
         ),
     ],
