--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.job import JobScheduler, LostHomes, UnorderedRuns, UsageBook
+from hyssopway.job import HomeMonitor, JobScheduler, RunRevoker, UsageReports
 from hyssopway.worker import WorkerSessions
 
 if TYPE_CHECKING:
@@ -36,16 +36,16 @@
             clock=group.clock,
             count_requests=fleet.vm_requests.count,
         )
-        self.usage = UsageBook()
+        self.usage = UsageReports()
         self.scheduler = JobScheduler(
             replica=group.replica,
             submitter=group.submitter,
             leads=group.leads,
             now_ms=group.now_ms,
-            book=self.usage,
+            usage_reports=self.usage,
             clock=group.clock,
         )
-        self.lost_homes = LostHomes(
+        self.lost_homes = HomeMonitor(
             own_name=own_name,
             replica=group.replica,
             submitter=group.submitter,
@@ -53,20 +53,20 @@
             leads=group.leads,
             clock=group.clock,
         )
-        self.scheduler.planner.find_silent = self.lost_homes.find_silent
+        self.scheduler.planner.find_silent_homes = self.lost_homes.find_silent_homes
         self.unordered_runs = self._build_unordered_runs(group=group, calls=calls)
 
-    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> UnorderedRuns | None:
+    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> RunRevoker | None:
         if group.member is None or group.proposer is None:
             return None
-        return UnorderedRuns(
+        return RunRevoker(
             replica=group.replica,
             member=group.member,
             proposer=group.proposer,
-            lost_homes=self.lost_homes,
+            home_monitor=self.lost_homes,
             confirmed_homes={peer.name for peer in group.settings.peers if peer.member},
-            covered=calls.covered,
-            withheld=calls.withheld,
+            confirmed_indexes=calls.covered,
+            undecided_ends=calls.withheld,
         )
 
 
--- a/src/hyssopway/dispatch/leadership.py
+++ b/src/hyssopway/dispatch/leadership.py
@@ -50,7 +50,7 @@
 
     def may_order(self) -> bool:
         """Returns whether the leader lease is valid, so that no other leader can have been elected yet."""
-        return self.holds and self.clock() - self.member.confirmed_at() <= LEADER_LEASE_S
+        return self.holds and self.clock() - self.member.quorum_acked_at() <= LEADER_LEASE_S
 
     async def confirm(self) -> None:
         """Confirms that no other leader had been elected when this was called.
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -23,15 +23,15 @@
 
     from hyssopway.workflow import ActiveRun, VmRecord
 
+    from .duration_scale import DurationScale
     from .leadership import Leadership
     from .listed_run import ListedRun
-    from .pace_memory import PaceMemory
+    from .pace_history import PaceHistory
     from .platform_limits import PlatformLimits
     from .poll_rate_limiter import PollRateLimiter
     from .poll_reply import PollReply
     from .rtt_estimator import RttEstimator
     from .ticket_cache import TicketCache
-    from .work_scale import WorkScale
     from .worker_calls import WorkerCalls
 
 RETRY_S = 0.2
@@ -98,10 +98,10 @@
         leadership: Leadership,
         calls: WorkerCalls,
         limits: PlatformLimits,
-        scale: WorkScale,
+        scale: DurationScale,
         poll_limiter: PollRateLimiter,
         rtt_estimator: RttEstimator,
-        pace_memory: PaceMemory,
+        pace_memory: PaceHistory,
         tickets: TicketCache,
         on_change: Callable[[], None],
     ) -> None:
@@ -126,7 +126,7 @@
             tickets=tickets,
         )
         self.pace = VmPace(
-            leadership=leadership, orders=self.orders, memory=pace_memory, pacing_s=limits.pacing_s
+            leadership=leadership, orders=self.orders, history=pace_memory, pacing_s=limits.pacing_s
         )
         self.unlisted = UnlistedRuns(
             leadership=leadership, orders=self.orders, stop_s=limits.stop_s + STOP_SLACK_S
@@ -213,7 +213,7 @@
         self.listed_runs = {f"{row.task}/{row.run}": row for row in reply.running}
         self.orders.record_listed(self.listed_runs, now=now)
         self._stop_stalled_runs(now)
-        self.pace.follow(self.listed_runs, now=now)
+        self.pace.update(self.listed_runs, now=now)
         if reply.ends:
             await self._process_ends(record, reply=reply)
         await self._resolve_unlisted(record, reply=reply, sent_at=sent_at)
@@ -253,7 +253,7 @@
             return  # its record has been deleted
         step = workflow.spec.steps[task.step]
         if actual_s > 0 and step.estimate_ms and not step.long_running:
-            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, real_ms=actual_s * 1000)
+            self.scale.add(workflow.queue, declared_ms=step.estimate_ms, actual_ms=actual_s * 1000)
 
     async def _resolve_unlisted(self, record: VmRecord, *, reply: PollReply, sent_at: float) -> None:
         if not reply.is_complete:
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -13,7 +13,7 @@
 
     from .leadership import Leadership
     from .listed_run import ListedRun
-    from .pace_memory import PaceMemory
+    from .pace_history import PaceHistory
     from .run_orders import RunOrders
 
 AT_WORK_PERCENT = 100
@@ -31,16 +31,16 @@
     __slots__ = ("control", "leadership", "orders")
 
     def __init__(
-        self, *, leadership: Leadership, orders: RunOrders, memory: PaceMemory, pacing_s: float
+        self, *, leadership: Leadership, orders: RunOrders, history: PaceHistory, pacing_s: float
     ) -> None:
         self.leadership = leadership
         self.orders = orders
-        self.control = PaceControl(memory=memory, pacing_s=pacing_s)
+        self.control = PaceControl(history=history, pacing_s=pacing_s)
 
-    def follow(self, rows: dict[str, ListedRun], *, now: float) -> None:
+    def update(self, rows: dict[str, ListedRun], *, now: float) -> None:
         """Takes in a listing of the VM's runs and orders the pace of those that fill."""
-        use = self.leadership.state.indexes.vm_use.get(self.orders.vm_id)
-        if use is None or not use.filling:
+        use = self.leadership.state.indexes.vm_usage.get(self.orders.vm_id)
+        if use is None or not use.best_effort:
             return
         steps = {key: step for key, row in rows.items() if (step := self._find_step(row)) is not None}
         filling = [key for key, step in steps.items() if step.fills]
--- a/src/hyssopway/job/planner.py
+++ b/src/hyssopway/job/planner.py
@@ -23,7 +23,7 @@
     from hyssopway.control.run_end import RunEnd
 
     from .pending_queues import GroupKey
-    from .usage_book import UsageBook
+    from .usage_reports import UsageReports
 
 # One round may not hold up the next urgent job for long; at 0.05 s a round this is far above the
 # 500 starts a second that the agreed state is designed for.
@@ -43,34 +43,34 @@
         view: Free capacity.
         queues: Pending jobs.
         estimates: What kinds of tasks really use.
-        book: Last reports of workers.
+        usage_reports: Last reports of workers.
         usage: What each team holds, with the starts of this round.
         total: Capacity of all VMs that take work.
         ends: Runs that ended since the last round.
         avoid: Returns VMs that a job should not run on again.
-        find_silent: Returns the homes that are out of contact.
+        find_silent_homes: Returns the homes that are out of contact.
         blocked: Groups that fitted nowhere in this round, the first first.
     """
 
     __slots__ = (
         "avoid",
         "blocked",
-        "book",
         "clock",
         "ends",
         "estimates",
-        "find_silent",
+        "find_silent_homes",
         "queues",
         "returning_since",
         "state",
         "total",
         "usage",
+        "usage_reports",
         "view",
     )
 
-    def __init__(self, *, state: ControlState, book: UsageBook, clock: Clock) -> None:
+    def __init__(self, *, state: ControlState, usage_reports: UsageReports, clock: Clock) -> None:
         self.state = state
-        self.book = book
+        self.usage_reports = usage_reports
         self.clock = clock
         self.view = FleetView(tables=state.tables)
         self.queues = PendingQueues()
@@ -80,7 +80,7 @@
         self.blocked: list[GroupKey] = []
         self.ends: list[RunEnd] = []
         self.avoid: Callable[[Job], list[str]] = lambda _: []
-        self.find_silent: Callable[[], frozenset[str]] = frozenset
+        self.find_silent_homes: Callable[[], frozenset[str]] = frozenset
         self.returning_since: dict[str, float] = {}
 
     def refresh(self, *, state: ControlState, now_ms: int) -> None:
@@ -90,7 +90,7 @@
             self._rebuild(state, now_ms=now_ms)
         self.ends = changes.ends
         for end in changes.ends:
-            task = self.book.find(vm=end.vm, job_id=end.job_id, epoch=end.epoch)
+            task = self.usage_reports.find(vm=end.vm, job_id=end.job_id, epoch=end.epoch)
             if task is not None and end.outcome == "done":
                 self.estimates.observe(
                     team=end.team, task_kind=end.task_kind, usage=task.usage, ran_s=task.ran_s
@@ -104,7 +104,7 @@
             self.follow_job(job_id, now_ms=now_ms)
         self._follow_zones()
         self.view.let_in(now=self.clock())
-        self.view.skip_silent(self.find_silent())
+        self.view.skip_silent(self.find_silent_homes())
         self.total = self.view.total()
         self.usage = {
             team: TeamUsage(tasks=usage.tasks, resources=usage.resources)
@@ -274,7 +274,7 @@
             return f"team {key.team} is no longer in the production document"
         if document.pool(name=key.pool) is None:
             return f"pool {key.pool} is no longer in the production document"
-        if self.state.indexes.shapes.exceeds_all(pool=key.pool, need=key.resources):
+        if self.state.indexes.shapes.exceeds_every_vm(pool=key.pool, need=key.resources):
             return f"the job is bigger than every VM of pool {key.pool}"
         return ""
 
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -87,7 +87,7 @@
         self.member = Member(
             daemon=settings.host,
             store=Store(folder=settings.data_dir),
-            machine=self.state,
+            state_machine=self.state,
             clock=monotonic_s,
             timers=TIMERS,
             snapshot_entries=SNAPSHOT_ENTRIES,
@@ -134,12 +134,12 @@
             asyncio.create_task(keep_running(name, loop), name=name) for name, loop in loops.items()
         ]
 
-    async def hand_over(self) -> None:
+    async def resign_leadership(self) -> None:
         """Gives up the lead, if this node has it, and lets the others elect a leader at once."""
         member = self.member
         if not member.is_leader:
             return
-        member.suspend()
+        member.suspend_candidacy()
         member.step_down(reason="the node stops")
         others = [daemon_of(voter) for voter in member.configuration.voters if voter != member.member_id]
         await asyncio.gather(*(self._tell_stopping(other) for other in others))
@@ -206,7 +206,7 @@
         member = self.member
         while True:
             await asyncio.sleep(LEAD_CHECK_S)
-            if not member.is_leader or member.applied_index < member.term_start:
+            if not member.is_leader or member.applied_index < member.term_start_index:
                 continue
             leadership = Leadership(member=member, state=self.state, clock=monotonic_s)
             tables = self.state.tables
@@ -266,7 +266,7 @@
         if self.member.leader_id == data.decode():
             self.member.leader_id = ""
             self.member.heard_at = float("-inf")
-            self.member.doubt.begin()
+            self.member.leader_suspicion.start()
         return b""
 
     async def _take_joiner(self, data: bytes) -> bytes:
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -43,8 +43,8 @@
     return {
         "term": controller.leadership.term,
         "waiting_millis": controller.dispatcher.waiting_millis,
-        "closed_vms": sorted(controller.dispatcher.closed_vms),
-        "due_vms": sorted(controller.dispatcher.due_vms),
+        "closed_vms": sorted(controller.dispatcher.cordoned_vms),
+        "due_vms": sorted(controller.dispatcher.awaiting_maintenance),
         "machines": controller.mover.machines.machines,
         "links": {
             vm_id: {
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -16,12 +16,12 @@
 from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply
 from hyssopway.dispatch.demand_forecast import DemandForecast
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.duration_scale import DurationScale
+from hyssopway.dispatch.pace_history import PaceHistory
 from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.pool_load import measure_pools
 from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.vm_link import VmLink
-from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import (
     AcceptWorkflow,
     Capacity,
@@ -158,7 +158,7 @@
     async def measure_all() -> None:
         tables, indexes = term.state.tables, term.state.indexes
         measure_pools(tables=tables, waiting_millis={})
-        forecast.measure(tables=tables, indexes=indexes, now_ms=0)
+        forecast.update(tables=tables, indexes=indexes, now_ms=0)
 
     pools_ms = await _time(measure_all)
     await _submit(term, tasks=ROUND_STARTS, name="new")
@@ -187,7 +187,7 @@
 
 
 async def _round(dispatcher: Dispatcher) -> None:
-    await dispatcher.start_waiting()
+    await dispatcher.run_round()
     while dispatcher.sending:
         await asyncio.gather(*dispatcher.sending)
         await asyncio.sleep(0)
@@ -255,10 +255,10 @@
         leadership=term,  # type: ignore[arg-type]
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
-        scale=WorkScale(),
+        scale=DurationScale(),
         poll_limiter=PollRateLimiter(),
         rtt_estimator=RttEstimator(),
-        pace_memory=PaceMemory(),
+        pace_memory=PaceHistory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
     )
--- a/tests/agreement/group.py
+++ b/tests/agreement/group.py
@@ -13,7 +13,7 @@
     Configuration,
     Member,
     Role,
-    SnapshotParts,
+    SnapshotAssembler,
     StorageError,
     Store,
     Timers,
@@ -86,8 +86,8 @@
     """One member with its tasks."""
 
     member: Member
-    machine: Machine
-    parts: SnapshotParts = field(default_factory=SnapshotParts)
+    state_machine: Machine
+    assembler: SnapshotAssembler = field(default_factory=SnapshotAssembler)
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     @property
@@ -119,7 +119,7 @@
         if self.group.on_chunk is not None:
             await self.group.on_chunk(self.group.nodes[daemon], chunk)
         return await self._deliver(
-            daemon, timeout_s, lambda n: answer_snapshot(member=n.member, parts=n.parts, chunk=chunk)
+            daemon, timeout_s, lambda n: answer_snapshot(member=n.member, assembler=n.assembler, chunk=chunk)
         )
 
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[Node], Any]) -> Any:
@@ -157,17 +157,17 @@
         """Starts members; without `initial` as members with a new identity."""
         configuration = Configuration(voters=tuple(f"{name}/0" for name in NAMES)) if initial else None
         for name in names:
-            machine = Machine()
+            state_machine = Machine()
             member = Member(
                 daemon=name,
                 store=FaultyStore(folder=self.folder / f"{name}{subfolder}"),
-                machine=machine,
+                state_machine=state_machine,
                 clock=time.monotonic,
                 timers=self.timers,
                 snapshot_entries=self.snapshot_entries,
             )
             member.open(initial=configuration)
-            node = self.nodes[name] = Node(member, machine)
+            node = self.nodes[name] = Node(member, state_machine)
             transport = FakeTransport(group=self, source=name)
             rng = random.Random(name)
             node.tasks = [
@@ -203,7 +203,7 @@
         while time.monotonic() < deadline:
             found = [self.nodes[n] for n in among if n in self.nodes and self.nodes[n].member.is_leader]
             best = max(found, key=lambda node: node.member.term, default=None)
-            if best is not None and best.member.commit_index >= best.member.term_start > 0:
+            if best is not None and best.member.commit_index >= best.member.term_start_index > 0:
                 return best
             await asyncio.sleep(0.01)
         raise AssertionError("no leader in time")
@@ -222,9 +222,9 @@
         """Waits until all members applied the same and returns it."""
         deadline = time.monotonic() + timeout_s
         while True:
-            states = [node.machine.applied for node in self.nodes.values()]
+            states = [node.state_machine.applied for node in self.nodes.values()]
             if all(state == states[0] for state in states):
-                return next(iter(self.nodes.values())).machine.commands
+                return next(iter(self.nodes.values())).state_machine.commands
             assert time.monotonic() < deadline, [state[-3:] for state in states]
             await asyncio.sleep(0.02)
 
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -5,12 +5,12 @@
 import pytest
 
 from hyssopway.dispatch import ListedRun, OrderReply, PlatformLimits, PollReply, WorkerUnreachableError
-from hyssopway.dispatch.pace_memory import PaceMemory
+from hyssopway.dispatch.duration_scale import DurationScale
+from hyssopway.dispatch.pace_history import PaceHistory
 from hyssopway.dispatch.poll_rate_limiter import PollRateLimiter
 from hyssopway.dispatch.rtt_estimator import RttEstimator
 from hyssopway.dispatch.ticket_cache import TicketCache
 from hyssopway.dispatch.vm_link import VmLink
-from hyssopway.dispatch.work_scale import WorkScale
 from hyssopway.workflow import PutDocument, WorkflowState, encode_command
 from workflow.conftest import make_document, make_vm, make_workflow
 
@@ -104,10 +104,10 @@
         leadership=leadership,
         calls=calls,
         limits=LIMITS,
-        scale=WorkScale(),
+        scale=DurationScale(),
         poll_limiter=PollRateLimiter(),
         rtt_estimator=RttEstimator(),
-        pace_memory=PaceMemory(),
+        pace_memory=PaceHistory(),
         tickets=TicketCache(clock=leadership.clock),
         on_change=lambda: None,
     )
--- a/tests/dispatch/test_departures.py
+++ b/tests/dispatch/test_departures.py
@@ -34,8 +34,8 @@
     await controller.handle_announcement(make_vm("vm-1"))
     link = controller.links["vm-1"]
     await link.poll()
-    assert controller.dispatcher.list_rooms() == {}
-    await controller.dispatcher.start_waiting()
+    assert controller.dispatcher.list_free_capacity() == {}
+    await controller.dispatcher.run_round()
     assert vms.orders == []
     fleet.now += REMOVE_AFTER_S + 1.0
     await controller._remove_silent_vms()
@@ -55,4 +55,4 @@
     await controller.handle_announcement(make_vm("vm-1", draining=True))
     await controller.handle_announcement(make_vm("vm-1", draining=False))
     assert fleet.state.tables.vms["vm-1"].draining
-    assert controller.dispatcher.list_rooms() == {}
+    assert controller.dispatcher.list_free_capacity() == {}
--- a/tests/dispatch/test_order_protocol.py
+++ b/tests/dispatch/test_order_protocol.py
@@ -51,7 +51,7 @@
         self.run(self.leader.propose(make_workflow("w", steps=steps)))
         self.lead()
         self.poll(VMS, "deliver")
-        self.start_waiting("deliver", "vm-1")
+        self.run_round("deliver", "vm-1")
 
     def run(self, work):
         return self.loop.run_until_complete(work)
@@ -68,7 +68,7 @@
         return self.leader.state.tables.workflows["w"]
 
     @rule(fault=FAULTS, first=st.sampled_from(VMS))
-    def start_waiting(self, fault, first):
+    def run_round(self, fault, first):
         """Places every waiting task on a VM in contact."""
         names = (first, *(name for name in VMS if name != first))
         found = [name for name in names if self.links[name].in_contact(self.leader.now)]
@@ -101,7 +101,7 @@
     def stop_unwanted(self, fault):
         """Stops runs that are no longer needed."""
         self.network.fault = fault
-        self.run(self.stop_runs(self.leader.state.indexes.unwanted))
+        self.run(self.stop_runs(self.leader.state.indexes.runs_to_stop))
         self.network.fault = "deliver"
 
     @rule(name=st.sampled_from(VMS), fault=FAULTS)
