--- a/src/hyssopway/dispatch/leader_controller.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -47,12 +47,12 @@
         links: Links to VMs, by VM ID.
         dispatcher: Places tasks.
         advice: Requests the tickets of steps whose queue has an advisor.
-        emptying: Drains VMs.
+        drainer: Drains VMs.
         waves: Carries out maintenance waves.
         scale: Ratio of actual to declared run durations.
-        mover: Moves machines between pools.
+        rebalancer: Moves machines between pools.
         poll_limiter: Limits the rate of polls over all VMs.
-        pace_memory: How much best-effort tasks slow down latency-bound ones.
+        pace_history: Paces of best-effort tasks at which latency-bound ones met their target.
         rtt_estimator: Estimates how long a VM takes to answer an order.
         retention: Finds ended workflows whose records may be deleted.
         tasks: Asyncio tasks that run the links, by VM ID.
@@ -63,14 +63,14 @@
         "advice",
         "calls",
         "dispatcher",
-        "emptying",
+        "drainer",
         "leadership",
         "limits",
         "links",
         "load_reported_at",
-        "mover",
-        "pace_memory",
+        "pace_history",
         "poll_limiter",
+        "rebalancer",
         "retention",
         "rtt_estimator",
         "scale",
@@ -95,7 +95,7 @@
         self.tasks: dict[str, asyncio.Task[None]] = {}
         self.scale = DurationScale()
         self.poll_limiter = PollRateLimiter()
-        self.pace_memory = PaceHistory()
+        self.pace_history = PaceHistory()
         self.rtt_estimator = RttEstimator()
         self.retention = Retention(retention_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
@@ -108,18 +108,18 @@
             list_free_capacity=self.dispatcher.list_free_capacity,
             on_tickets=self.dispatcher.changed.set,
         )
-        self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
-        machine_list = MachineInventory(
+        self.drainer = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
+        machine_inventory = MachineInventory(
             leadership=leadership,
             calls=machines,
             machine_lease_s=limits.machine_lease_s,
             min_down_s=min(limits.move_s, limits.maintenance_s),
         )
-        self.mover = PoolRebalancer(
+        self.rebalancer = PoolRebalancer(
             leadership=leadership,
             calls=machines,
-            machines=machine_list,
-            drainer=self.emptying,
+            machines=machine_inventory,
+            drainer=self.drainer,
             scale=self.scale,
             move_s=limits.move_s,
             orders_per_s=limits.machine_orders_per_s,
@@ -127,8 +127,8 @@
         self.waves = WaveExecutor(
             leadership=leadership,
             calls=machines,
-            machines=machine_list,
-            drainer=self.emptying,
+            machines=machine_inventory,
+            drainer=self.drainer,
             maintenance_s=limits.maintenance_s,
         )
 
@@ -138,7 +138,7 @@
         loops = {
             "dispatcher": self.dispatcher.run,
             "waves": self.waves.run,
-            "pools": self.mover.run,
+            "pools": self.rebalancer.run,
             "advice": self.advice.run,
         }
         running: dict[str, asyncio.Task[None]] = {}
@@ -200,7 +200,7 @@
                     scale=self.scale,
                     poll_limiter=self.poll_limiter,
                     rtt_estimator=self.rtt_estimator,
-                    pace_memory=self.pace_memory,
+                    pace_history=self.pace_history,
                     tickets=self.dispatcher.tickets,
                     on_change=self.dispatcher.changed.set,
                 )
@@ -212,9 +212,9 @@
     def _drain_vms(self) -> None:
         for vm_id, vm in self.leadership.state.tables.vms.items():
             if vm.draining:
-                self.emptying.cordon(vm_id, reason="it is draining")
+                self.drainer.cordon(vm_id, reason="it is draining")
         if self.leadership.may_order():
-            self.emptying.evict_runs()
+            self.drainer.evict_runs()
 
     def _report_load(self) -> None:
         now = self.leadership.clock()
--- a/src/hyssopway/dispatch/vm_link.py
+++ b/src/hyssopway/dispatch/vm_link.py
@@ -101,7 +101,7 @@
         scale: DurationScale,
         poll_limiter: PollRateLimiter,
         rtt_estimator: RttEstimator,
-        pace_memory: PaceHistory,
+        pace_history: PaceHistory,
         tickets: TicketCache,
         on_change: Callable[[], None],
     ) -> None:
@@ -126,7 +126,7 @@
             tickets=tickets,
         )
         self.pace = VmPace(
-            leadership=leadership, orders=self.orders, history=pace_memory, pacing_s=limits.pacing_s
+            leadership=leadership, orders=self.orders, history=pace_history, pacing_s=limits.pacing_s
         )
         self.unlisted = UnlistedRuns(
             leadership=leadership, orders=self.orders, stop_s=limits.stop_s + STOP_SLACK_S
--- a/src/hyssopway/node/node_dump.py
+++ b/src/hyssopway/node/node_dump.py
@@ -45,7 +45,7 @@
         "waiting_millis": controller.dispatcher.waiting_millis,
         "closed_vms": sorted(controller.dispatcher.cordoned_vms),
         "due_vms": sorted(controller.dispatcher.awaiting_maintenance),
-        "machines": controller.mover.machines.machines,
+        "machines": controller.rebalancer.machines.machines,
         "links": {
             vm_id: {
                 "in_contact": link.in_contact(now),
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -258,7 +258,7 @@
         scale=DurationScale(),
         poll_limiter=PollRateLimiter(),
         rtt_estimator=RttEstimator(),
-        pace_memory=PaceHistory(),
+        pace_history=PaceHistory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
     )
--- a/tests/dispatch/conftest.py
+++ b/tests/dispatch/conftest.py
@@ -107,7 +107,7 @@
         scale=DurationScale(),
         poll_limiter=PollRateLimiter(),
         rtt_estimator=RttEstimator(),
-        pace_memory=PaceHistory(),
+        pace_history=PaceHistory(),
         tickets=TicketCache(clock=leadership.clock),
         on_change=lambda: None,
     )
