--- a/src/hyssopway/dispatch/machine_calls.py
+++ b/src/hyssopway/dispatch/machine_calls.py
@@ -1,4 +1,4 @@
-"""Orders about machines to the platform."""
+"""Interface of the platform for machines: lists them and orders moves and maintenance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MachineState(StrEnum):
-    """State of a machine."""
+    """State of a machine as the platform reports it."""
 
     UP = "up"
     MOVING = "moving"
@@ -24,11 +24,12 @@
     """A machine as the platform lists it.
 
     Attributes:
-        machine_id: Identity that outlives maintenance and moves.
-        pool: Pool that it belongs to.
-        state: State.
+        machine_id: ID of the machine, which stays the same across maintenance and moves.
+        pool: Name of its pool.
+        state: State of the machine.
         zone: Availability zone.
-        vm_id: Present life of the machine as a VM; empty while it has none.
+        vm_id: ID of the VM that runs on the machine, which changes with maintenance and moves; empty while there is
+            none.
     """
 
     machine_id: str
@@ -39,24 +40,25 @@
 
 
 class MachineOrderResult(StrEnum):
-    """What became of an order about a machine."""
+    """Result of an order for a machine."""
 
     DONE = "done"
     FENCED = "fenced"
-    BUSY = "busy"  # the machine is not up, or leaves
-    NOT_DUE = "not_due"  # it does not belong to the wave
+    BUSY = "busy"  # the machine is not up, or is being moved away
+    NOT_DUE = "not_due"  # the machine is not part of the wave
     GONE = "gone"
 
 
 class MachineCallError(Exception):
-    """The platform gave no usable answer; an order may have been carried out."""
+    """The platform gave no usable answer; the order may have been carried out."""
 
 
 class MachineCalls(Protocol):
     """Client of the platform's interface for machines.
 
-    Every call raises `MachineCallError` when there is no usable answer in time. Orders are sent only if `may_send`
-    still holds when they are written: where machines check no fencing token, a late order is carried out.
+    Every call raises `MachineCallError` when there is no usable answer within its timeout. An order is sent only if
+    `may_send` still returns True when it is written to the connection: a platform that does not check the fencing
+    token would carry out a late order of a former leader.
     """
 
     async def list_machines(self) -> list[Machine]:
@@ -66,13 +68,13 @@
     async def order_maintenance(
         self, *, machine_id: str, wave: int, fencing_token: int, may_send: Callable[[], bool]
     ) -> MachineOrderResult:
-        """Begins the maintenance of a machine; everything that runs on it ends."""
+        """Starts the maintenance of a machine; all runs on it end."""
         ...
 
     async def order_move(
         self, *, machine_id: str, pool: str, fencing_token: int, may_send: Callable[[], bool]
     ) -> MachineOrderResult:
-        """Moves a machine to another pool; everything that runs on it ends."""
+        """Moves a machine to another pool; all runs on it end."""
         ...
 
 
--- a/src/hyssopway/dispatch/machine_inventory.py
+++ b/src/hyssopway/dispatch/machine_inventory.py
@@ -1,4 +1,4 @@
-"""Machines as the platform lists them, read no more often than needed."""
+"""Inventory of the machines that the platform lists, and of the orders in progress for them."""
 
 from __future__ import annotations
 
@@ -14,41 +14,42 @@
     from .machine_calls import Machine, MachineCalls
 
 RETRY_S = 0.5
-# Wall clocks of two nodes may differ by this much, also after a step.
-WALL_CLOCK_SLACK_S = 5.0
-# A machine may have joined after the last list was read, or be missing from a list whose pages shifted.
-GONE_S = 3.0
+# Largest difference between the wall clocks of two nodes, also after a clock step.
+MAX_CLOCK_SKEW_S = 5.0
+# Time for which a machine must be missing from lists before it counts as gone: it may have joined after the last list
+# was read, or be missing from a list whose pages shifted while they were read.
+GONE_AFTER_S = 3.0
 
 
 class MachineInventory:
-    """The last list of machines.
+    """Machines from the last list of the platform, and which of them this leader may order.
 
     Attributes:
-        leadership: The term.
+        leadership: Term of the leader.
         calls: Client of the platform.
-        machines: Machines by identity.
-        listed_at: Local time at which the last list was asked for.
-        missing_since: Local time at which each machine was first found missing from the last list.
-        ordered: Machines that were ordered to move or into maintenance, with the local time until which a list
-            may not show it yet.
-        tried_at: Local time of the last try.
-        order_gap_s: Shortest time between orders of two leaders for one machine.
-        min_down_s: Shortest time that an order keeps a machine from being up.
-        others_orders: Machines that a former leader may have ordered a moment ago, with the local time from
-            which this one may order them.
+        machines: Machines of the last list by machine ID.
+        listed_at: Local time at which the last list was requested.
+        missing_since: Local time since which each machine has been missing from lists, by machine ID.
+        ordered: Machines that this leader ordered to move or into maintenance, with the local time until which lists
+            may still show them up.
+        last_attempt_at: Local time of the last attempt to read the list.
+        machine_lease_s: Shortest time in seconds between orders of two leaders for one machine.
+        min_down_s: Shortest time in seconds for which an order keeps a machine from being up.
+        orderable_at: Local time from which this leader may order a machine that a former leader may have ordered
+            recently, by machine ID.
     """
 
     __slots__ = (
         "calls",
+        "last_attempt_at",
         "leadership",
         "listed_at",
         "machine_lease_s",
         "machines",
         "min_down_s",
         "missing_since",
+        "orderable_at",
         "ordered",
-        "others_orders",
-        "tried_at",
     )
 
     def __init__(
@@ -59,24 +60,24 @@
         self.machines: dict[str, Machine] = {}
         self.listed_at = float("-inf")
         self.missing_since: dict[str, float] = {}
-        self.tried_at = float("-inf")
+        self.last_attempt_at = float("-inf")
         self.ordered: dict[str, float] = {}
         self.machine_lease_s = machine_lease_s
         self.min_down_s = min_down_s
-        recent_ms = wall_ms() - (machine_lease_s + WALL_CLOCK_SLACK_S) * 1000
+        recent_ms = wall_ms() - (machine_lease_s + MAX_CLOCK_SKEW_S) * 1000
         orders = leadership.state.tables.machine_orders
-        self.others_orders = {
+        self.orderable_at = {
             machine_id: leadership.started_at + machine_lease_s
             for machine_id, at_ms in orders.items()
             if at_ms > recent_ms
         }
 
     async def refresh(self, *, max_age_s: float) -> None:
-        """Reads the list again when it is older than asked for."""
+        """Reads the list again when it is older than `max_age_s` seconds; keeps the old list on an error."""
         now = self.leadership.clock()
-        if now - self.listed_at < max_age_s or now - self.tried_at < RETRY_S:
+        if now - self.listed_at < max_age_s or now - self.last_attempt_at < RETRY_S:
             return
-        self.tried_at = now
+        self.last_attempt_at = now
         try:
             machines = await self.calls.list_machines()
         except MachineCallError as error:
@@ -86,7 +87,7 @@
         self.machines = {machine.machine_id: machine for machine in machines}
         for machine_id in self.machines:
             self.missing_since.pop(machine_id, None)
-        self._shorten_turns()
+        self._update_orderable_at()
         self.ordered = {
             machine_id: until
             for machine_id, until in self.ordered.items()
@@ -94,37 +95,38 @@
         }
 
     def is_gone(self, machine_id: str) -> bool:
-        """Tells whether lists have lacked a machine for so long that it does not exist."""
+        """Returns whether a machine has been missing from lists for so long that it counts as gone."""
         if machine_id in self.machines:
             return False
         since = self.missing_since.setdefault(machine_id, self.leadership.clock())
-        return self.listed_at - since >= GONE_S
+        return self.listed_at - since >= GONE_AFTER_S
 
-    def note_order(self, machine_id: str, *, duration_s: float) -> None:
-        """Notes that a machine was ordered away for some seconds."""
+    def record_order(self, machine_id: str, *, duration_s: float) -> None:
+        """Records that a machine was ordered to move or into maintenance, which takes `duration_s` seconds."""
         self.ordered[machine_id] = self.leadership.clock() + duration_s
 
     def is_available(self, machine_id: str) -> bool:
-        """Tells whether a machine is up and no order for it is in progress."""
+        """Returns whether a machine is up and no order for it is in progress."""
         return machine_id not in self.ordered and self._is_up(machine_id) and self.may_order(machine_id)
 
     def may_order(self, machine_id: str) -> bool:
-        """Tells whether no former leader can have ordered a machine within a turn."""
-        return self.leadership.clock() >= self.others_orders.get(machine_id, float("-inf"))
+        """Returns whether no former leader can have ordered a machine within `machine_lease_s`."""
+        return self.leadership.clock() >= self.orderable_at.get(machine_id, float("-inf"))
 
-    def _shorten_turns(self) -> None:
-        """Counts the turn of a machine that is up from before the last order that it can have got.
+    def _update_orderable_at(self) -> None:
+        """Updates from when on this leader may order the machines that a former leader may have ordered.
 
-        A former leader orders nothing after the start of this term, and a machine that it had ordered since
-        would not be up yet. One that is not up any more got an order that was on its way for long.
+        For a machine that is up, `machine_lease_s` counts from `min_down_s` ago: a former leader orders nothing after
+        the start of this term, and a machine that it ordered since then would not be up yet. A machine that is not up
+        any more got an order that took long to arrive, so that the time counts from the start of this term.
         """
-        last_order_at = self.leadership.clock() - self.min_down_s
-        for machine_id, free_at in self.others_orders.items():
+        latest_order_at = self.leadership.clock() - self.min_down_s
+        for machine_id, previous_at in self.orderable_at.items():
             if self._is_up(machine_id):
-                self.others_orders[machine_id] = min(free_at, last_order_at + self.machine_lease_s)
+                self.orderable_at[machine_id] = min(previous_at, latest_order_at + self.machine_lease_s)
             else:
-                self.others_orders[machine_id] = max(
-                    free_at, self.leadership.started_at + self.machine_lease_s
+                self.orderable_at[machine_id] = max(
+                    previous_at, self.leadership.started_at + self.machine_lease_s
                 )
 
     def _is_up(self, machine_id: str) -> bool:
--- a/src/hyssopway/dispatch/pool_plan.py
+++ b/src/hyssopway/dispatch/pool_plan.py
@@ -1,34 +1,34 @@
-"""Decides which machines move between pools.
+"""Plan of machine moves between pools.
 
-Answers the load pattern of queues whose demand rises in turn to several times what their pool holds and then falls
-to nearly nothing: idle machines leave for the standby pool, where they cost nothing, and a pool whose demand rises
-gets machines from there, and from pools that have more than they need, before its queue grows long.
+The demand of each queue comes in bursts: it rises to several times the capacity of its pool and then falls to nearly
+nothing. Idle machines move to the standby pool, where they cost nothing. A pool with rising demand gets machines from
+the standby pool first and then from pools with a surplus, before its queue grows long.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# A pool keeps room beyond its demand for this many steps of the usual width, and for one VM at least: work that
-# arrives while a machine is on its way waits for about 2 s otherwise.
+# Spare capacity of a pool beyond its demand, as a multiple of the mean CPU demand of a step; it is at least one VM.
+# Without it, tasks that arrive while a machine is moving wait for about 2 s.
 RESERVE_STEPS = 1.0
 MIN_VMS = 2
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PoolDemand:
-    """Demand of one pool and what it has.
+    """Demand and supply of one pool; CPU in millicores.
 
     Attributes:
         pool: Name of the pool.
-        vms: VMs that take work and are not being emptied, and machines on their way to the pool.
-        long_running_millis: Processor of long-running tasks.
-        short_millis: Processor that other tasks use or wait for now.
-        forecast_millis: Processor that other tasks need when a machine ordered now arrives.
-        step_millis: Processor of one step of the usual width.
-        spread_vms: VMs that the widest step with a limit on tasks a VM needs.
-        idle_machines: Machines of the pool on which nothing runs, the longest idle first.
-        long_idle: Number of these that have been idle for longer than a move there and back is worth.
+        vms: Number of usable VMs that are not cordoned, plus machines that are moving to the pool.
+        long_running_millis: CPU of long-running tasks.
+        short_millis: CPU that other tasks use or wait for now.
+        forecast_millis: CPU that other tasks will need when a machine ordered now arrives.
+        mean_step_millis: Mean CPU demand of one step.
+        min_spread_vms: Number of VMs that the largest open step with a spread limit needs.
+        idle_machines: IDs of machines of the pool on which nothing runs, the longest idle first.
+        long_idle_count: Number of these that have been idle long enough to move to the standby pool.
     """
 
     pool: str
@@ -36,20 +36,20 @@
     long_running_millis: int
     short_millis: int
     forecast_millis: float
-    step_millis: float
-    spread_vms: int
+    mean_step_millis: float
+    min_spread_vms: int
     idle_machines: tuple[str, ...]
-    long_idle: int
+    long_idle_count: int
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MachineMove:
-    """A machine to move.
+    """A move of one machine between pools.
 
     Attributes:
-        machine_id: The machine.
-        source: Its present pool.
-        target: Its next pool.
+        machine_id: ID of the machine.
+        source: Name of its present pool.
+        target: Name of its next pool.
     """
 
     machine_id: str
@@ -57,12 +57,17 @@
     target: str
 
 
-def wanted_vms(demand: PoolDemand, *, vm_millis: int) -> int:
-    """Returns the number of VMs that serve a pool's demand when a machine ordered now arrives."""
+def required_vms(demand: PoolDemand, *, vm_millis: int) -> int:
+    """Returns the number of VMs that the pool needs when a machine ordered now arrives.
+
+    Args:
+        demand: Demand of the pool.
+        vm_millis: CPU of one VM in millicores.
+    """
     expected = max(demand.short_millis, demand.forecast_millis)
-    reserve = max(float(vm_millis), RESERVE_STEPS * demand.step_millis)
+    reserve = max(float(vm_millis), RESERVE_STEPS * demand.mean_step_millis)
     by_load = -(-int(demand.long_running_millis + expected + reserve) // vm_millis)
-    return max(MIN_VMS, demand.spread_vms, by_load)
+    return max(MIN_VMS, demand.min_spread_vms, by_load)
 
 
 def plan_moves(
@@ -72,35 +77,39 @@
     standby_machines: list[str],
     vm_millis: int,
 ) -> list[MachineMove]:
-    """Returns the moves to order now, those that bring capacity to the pool that lacks most first.
+    """Returns the moves to order now; moves to the pool with the largest deficit come first.
 
     Args:
-        demands: All pools but the standby pool.
+        demands: Demand of all pools except the standby pool.
         standby: Name of the standby pool; empty when there is none.
-        standby_machines: Machines that wait there.
-        vm_millis: Processor of one VM in thousandths of a core.
+        standby_machines: IDs of the machines in the standby pool.
+        vm_millis: CPU of one VM in millicores.
     """
-    wanted = {one.pool: wanted_vms(one, vm_millis=vm_millis) for one in demands}
-    lacking = sorted(demands, key=lambda one: one.vms - wanted[one.pool])
-    spare = [(machine, standby) for machine in standby_machines]
-    surplus = {one.pool: min(len(one.idle_machines), one.vms - wanted[one.pool]) for one in demands}
-    for one in demands:
-        spare += [(machine, one.pool) for machine in one.idle_machines[: max(0, surplus[one.pool])]]
-    may_park = {machine for one in demands for machine in one.idle_machines[: one.long_idle]}
+    required = {demand.pool: required_vms(demand, vm_millis=vm_millis) for demand in demands}
+    by_deficit = sorted(demands, key=lambda demand: demand.vms - required[demand.pool])
+    available = [(machine, standby) for machine in standby_machines]
+    surplus = {
+        demand.pool: min(len(demand.idle_machines), demand.vms - required[demand.pool]) for demand in demands
+    }
+    for demand in demands:
+        available += [
+            (machine, demand.pool) for machine in demand.idle_machines[: max(0, surplus[demand.pool])]
+        ]
+    long_idle = {machine for demand in demands for machine in demand.idle_machines[: demand.long_idle_count]}
     moves: list[MachineMove] = []
-    for one in lacking:
-        for _ in range(max(0, wanted[one.pool] - one.vms)):
-            if not spare:
+    for demand in by_deficit:
+        for _ in range(max(0, required[demand.pool] - demand.vms)):
+            if not available:
                 return moves
-            machine, source = spare.pop(0)
-            moves.append(MachineMove(machine_id=machine, source=source, target=one.pool))
+            machine, source = available.pop(0)
+            moves.append(MachineMove(machine_id=machine, source=source, target=demand.pool))
     if standby:
         moves += [
             MachineMove(machine_id=machine, source=source, target=standby)
-            for machine, source in spare
-            if source != standby and machine in may_park
+            for machine, source in available
+            if source != standby and machine in long_idle
         ]
     return moves
 
 
-__all__ = ["MachineMove", "PoolDemand", "plan_moves", "wanted_vms"]
+__all__ = ["MachineMove", "PoolDemand", "plan_moves", "required_vms"]
--- a/src/hyssopway/dispatch/pool_rebalancer.py
+++ b/src/hyssopway/dispatch/pool_rebalancer.py
@@ -1,4 +1,4 @@
-"""Moves machines between pools on behalf of one leader."""
+"""Moves machines between pools according to demand, on behalf of one leader."""
 
 from __future__ import annotations
 
@@ -25,44 +25,45 @@
     from .pool_plan import MachineMove
     from .vm_drainer import VmDrainer
 
-STEP_S = 0.25
-LIST_S = 1.0
-# Below what a move there and back costs (3 s of a machine in a pool): few idle machines are needed again in a turn.
-IDLE_KEEP_S = 2.0
-# A moved machine is counted for its new pool for this long beyond the move, until its VM announces itself.
-ARRIVAL_S = 1.5
-# From the end of a move until the VM has announced itself and was looked at.
-JOIN_S = 0.4
+INTERVAL_S = 0.25
+MAX_LIST_AGE_S = 1.0
+# Below the cost of a move to the standby pool and back, which is 3 s of machine time, because few idle machines are
+# needed again within the same burst.
+MIN_IDLE_S = 2.0
+# A moved machine counts towards its new pool for this long after the move, or until its VM registers.
+JOIN_TIMEOUT_S = 1.5
+# Time from the end of a move until the VM has registered and answered a poll.
+JOIN_DELAY_S = 0.4
 
 
 class PoolRebalancer:
     """Follows the demand of all pools and moves idle machines.
 
     Attributes:
-        leadership: The term.
+        leadership: Term on whose behalf machines are moved.
         calls: Client of the platform.
-        machines: Machines as listed last.
-        drainer: VMs that get no starts.
-        move_s: Duration of a move.
-        budget: Rate of the orders.
-        forecast: Demand by pool when a machine ordered now arrives.
-        idle_since: Local time since which each VM has been idle; a machine that moves gets another VM.
-        step_sizes: How wide the steps of each pool are.
-        arrivals: Machines on their way, with their next pool and the local time until which they count there.
-        refused: Pairs of pools that machines cannot move between.
+        machines: Machines as the platform lists them.
+        drainer: Cordons VMs before their machine moves.
+        move_s: Duration of a move in seconds.
+        budget: Rate limit of move orders.
+        forecast: Demand by pool at the time when a machine ordered now arrives.
+        idle_since: Local time since which each VM has been idle, by VM ID; a machine that moves gets a new VM.
+        step_sizes: Mean CPU demand of the steps of each pool.
+        incoming: Machines that are moving: their target pool and the local time until which they count towards it.
+        impossible_moves: Pairs of source and target pool for which the platform rejected a move; not ordered again.
     """
 
     __slots__ = (
-        "arrivals",
         "budget",
         "calls",
         "drainer",
         "forecast",
         "idle_since",
+        "impossible_moves",
+        "incoming",
         "leadership",
         "machines",
         "move_s",
-        "refused",
         "step_sizes",
     )
 
@@ -83,16 +84,16 @@
         self.drainer = drainer
         self.move_s = move_s
         self.budget = OrderBudget(accepted_per_s=orders_per_s, now=leadership.clock())
-        self.forecast = DemandForecast(ahead_s=move_s + JOIN_S, scale=scale.read)
+        self.forecast = DemandForecast(ahead_s=move_s + JOIN_DELAY_S, scale=scale.read)
         self.idle_since: dict[str, float] = {}
-        self.arrivals: dict[str, tuple[str, float]] = {}
+        self.incoming: dict[str, tuple[str, float]] = {}
         self.step_sizes = StepSizes()
-        self.refused: set[tuple[str, str]] = set()
+        self.impossible_moves: set[tuple[str, str]] = set()
 
     async def run(self) -> None:
-        """Looks at the pools again and again until the term ends."""
+        """Rebalances the pools periodically until the term ends."""
         while self.leadership.holds:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(INTERVAL_S)
             document = self.leadership.state.tables.document
             standby = next((pool.name for pool in document.pools if pool.standby), "") if document else ""
             loads = measure_pools(
@@ -100,26 +101,33 @@
                 waiting_millis=self.drainer.dispatcher.waiting_millis,
             )
             if standby and self.leadership.may_order():
-                await self.machines.refresh(max_age_s=LIST_S)
+                await self.machines.refresh(max_age_s=MAX_LIST_AGE_S)
                 await self.rebalance(standby, loads=loads)
 
     async def rebalance(self, standby: str, *, loads: dict[str, PoolLoad]) -> None:
-        """Orders the moves that the demand of all pools asks for now."""
+        """Orders the moves that the present demand of all pools requires.
+
+        Args:
+            standby: Name of the standby pool.
+            loads: Load by pool.
+        """
         now = self.leadership.clock()
-        self.arrivals = {key: value for key, value in self.arrivals.items() if now < value[1]}
-        sizes = [vm.capacity.cpu_millis for vm in self.leadership.state.tables.vms.values()]
-        if not sizes or not self.machines.machines:
+        self.incoming = {key: value for key, value in self.incoming.items() if now < value[1]}
+        vm_sizes = [vm.capacity.cpu_millis for vm in self.leadership.state.tables.vms.values()]
+        if not vm_sizes or not self.machines.machines:
             return
         state = self.leadership.state
         self.forecast.update(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
         self.step_sizes.follow(tables=state.tables, indexes=state.indexes)
         moves = plan_moves(
-            demands=[self._describe(pool, load=load) for pool, load in loads.items() if pool != standby],
+            demands=[
+                self._compute_demand(pool, load=load) for pool, load in loads.items() if pool != standby
+            ],
             standby=standby,
-            standby_machines=self._list_standby(standby),
-            vm_millis=sorted(sizes)[len(sizes) // 2],
+            standby_machines=self._list_standby_machines(standby),
+            vm_millis=sorted(vm_sizes)[len(vm_sizes) // 2],
         )
-        moves = [move for move in moves if (move.source, move.target) not in self.refused]
+        moves = [move for move in moves if (move.source, move.target) not in self.impossible_moves]
         moves = moves[: self.budget.take(len(moves), now=now)]
         if not moves:
             return
@@ -127,47 +135,47 @@
         await self.leadership.propose(NoteMachineOrders(machines=machine_ids, at_ms=wall_ms()))
         await asyncio.gather(*(self._move(move) for move in moves))
 
-    def _describe(self, pool: str, *, load: PoolLoad) -> PoolDemand:
+    def _compute_demand(self, pool: str, *, load: PoolLoad) -> PoolDemand:
         tables = self.leadership.state.tables
         now = self.leadership.clock()
         evacuated = tables.evacuated
-        in_contact = self._in_contact(now)
-        usable = sum(
+        reachable = self._vms_in_contact(now)
+        usable_vms = sum(
             vm.pool == pool
             and not vm.draining
             and vm.zone not in evacuated
             and vm_id not in self.drainer.cordoned_at
-            and vm_id in in_contact
+            and vm_id in reachable
             for vm_id, vm in tables.vms.items()
         )
-        announced = {
+        registered = {
             machine.machine_id for machine in self.machines.machines.values() if machine.vm_id in tables.vms
         }
-        coming = sum(
-            target == pool and machine_id not in announced
-            for machine_id, (target, _) in self.arrivals.items()
+        moving = sum(
+            target == pool and machine_id not in registered
+            for machine_id, (target, _) in self.incoming.items()
         )
-        idle = self._list_idle(pool)
+        idle = self._list_idle_machines(pool)
         return PoolDemand(
             pool=pool,
-            vms=usable + coming,
+            vms=usable_vms + moving,
             long_running_millis=load.long_running_millis,
             short_millis=load.short_millis + load.waiting_millis,
             forecast_millis=self.forecast.read(pool),
-            spread_vms=self._spread_vms(pool),
+            min_spread_vms=self._min_spread_vms(pool),
             idle_machines=idle,
-            long_idle=sum(self._idle_s(machine_id) >= IDLE_KEEP_S for machine_id in idle),
-            step_millis=self.step_sizes.read(pool),
+            long_idle_count=sum(self._idle_time_s(machine_id) >= MIN_IDLE_S for machine_id in idle),
+            mean_step_millis=self.step_sizes.read(pool),
         )
 
-    def _idle_s(self, machine_id: str) -> float:
+    def _idle_time_s(self, machine_id: str) -> float:
         vm_id = self.machines.machines[machine_id].vm_id
         return self.leadership.clock() - self.idle_since[vm_id]
 
-    def _in_contact(self, now: float) -> set[str]:
+    def _vms_in_contact(self, now: float) -> set[str]:
         return {vm_id for vm_id, link in self.drainer.links.items() if link.in_contact(now)}
 
-    def _list_idle(self, pool: str) -> tuple[str, ...]:
+    def _list_idle_machines(self, pool: str) -> tuple[str, ...]:
         tables = self.leadership.state.tables
         now = self.leadership.clock()
         idle = []
@@ -183,7 +191,7 @@
                 idle.append((since, machine.machine_id))
         return tuple(machine_id for _, machine_id in sorted(idle))
 
-    def _list_standby(self, standby: str) -> list[str]:
+    def _list_standby_machines(self, standby: str) -> list[str]:
         evacuated = self.leadership.state.tables.evacuated
         return sorted(
             machine.machine_id
@@ -193,31 +201,32 @@
             and self.machines.is_available(machine.machine_id)
         )
 
-    def _spread_vms(self, pool: str) -> int:
-        """VMs that the widest open step with a limit on tasks a VM needs."""
+    def _min_spread_vms(self, pool: str) -> int:
+        """Returns the number of VMs that the largest open step with a spread limit needs."""
         state = self.leadership.state
-        widest = 0
+        most_vms = 0
         for workflow_id in state.indexes.open_workflows:
             workflow = state.tables.workflows[workflow_id]
             if state.tables.queue_pools.get(workflow.queue) != pool:
                 continue
             for step in workflow.spec.steps:
                 if step.spread_limit:
-                    widest = max(widest, -(-step.count // step.spread_limit))
-        return widest
+                    most_vms = max(most_vms, -(-step.count // step.spread_limit))
+        return most_vms
 
     async def _move(self, move: MachineMove) -> None:
         machine = self.machines.machines[move.machine_id]
         record = self.leadership.state.tables.vms.get(machine.vm_id)
         if record is not None:
-            # Closed first: a start that was agreed in between keeps the machine where it is.
+            # The VM is cordoned before the check, so that no start is placed after it. A start that was replicated in
+            # between keeps the machine in its pool.
             self.drainer.cordon(record.vm_id, reason=f"moves to pool {move.target}")
             if record.runs:
                 self.drainer.uncordon(record.vm_id)
                 return
         if not self.leadership.may_order():
             return
-        self.machines.note_order(move.machine_id, duration_s=self.move_s)
+        self.machines.record_order(move.machine_id, duration_s=self.move_s)
         try:
             result = await self.calls.order_move(
                 machine_id=move.machine_id,
@@ -227,7 +236,7 @@
             )
         except MachineCallError as error:
             log_event(Event.PLATFORM_FAILED, call="order_move", error=str(error))
-            # It may have been carried out; the list shows the machine when it is up again.
+            # The move may have been carried out; the list then shows the machine when it is up again.
             self.drainer.uncordon(machine.vm_id)
             return
         log_event(
@@ -239,11 +248,11 @@
         )
         self.drainer.uncordon(machine.vm_id)
         if result is MachineOrderResult.GONE:
-            self.refused.add((move.source, move.target))
+            self.impossible_moves.add((move.source, move.target))
         if result is not MachineOrderResult.DONE:
             return
-        until = self.leadership.clock() + self.move_s + ARRIVAL_S
-        self.arrivals[move.machine_id] = (move.target, until)
+        until = self.leadership.clock() + self.move_s + JOIN_TIMEOUT_S
+        self.incoming[move.machine_id] = (move.target, until)
         if record is not None:
             await self.leadership.propose(RemoveVm(vm=record.vm_id, boot=record.boot, at_ms=wall_ms()))
 
--- a/src/hyssopway/dispatch/vm_drainer.py
+++ b/src/hyssopway/dispatch/vm_drainer.py
@@ -1,4 +1,4 @@
-"""Empties VMs so that their machines can be maintained or moved."""
+"""Drains VMs, so that their machines can be moved or go into maintenance."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
     from .leadership import Leadership
     from .vm_link import VmLink
 
-# Short tasks end by themselves within this time; then those that keep their work are stopped.
-FINISH_S = 2.5
-AT_WORK_PERCENT = 100
+# Time for short tasks to end by themselves; then those that save checkpoints are stopped.
+FINISH_TIME_S = 2.5
+# Listed percent of a long-running run that has started up and whose pace is not limited.
+UNTHROTTLED_PERCENT = 100
 
 
 class VmDrainer:
-    """VMs that get no starts and whose work ends or moves.
+    """Cordons VMs and stops their runs as far as the runs may be interrupted.
 
     Attributes:
-        leadership: The term.
-        links: VMs by identity.
-        dispatcher: Gets told which VMs are closed.
-        cordoned_at: Local time since which each VM is emptied.
+        leadership: Term on whose behalf runs are stopped.
+        links: Links to VMs by VM ID.
+        dispatcher: Places no tasks on cordoned VMs.
+        cordoned_at: Local time since which each VM has been cordoned, by VM ID.
     """
 
     __slots__ = ("cordoned_at", "dispatcher", "leadership", "links")
@@ -38,25 +39,25 @@
         self.cordoned_at: dict[str, float] = {}
 
     def cordon(self, vm_id: str, *, reason: str) -> None:
-        """Starts to empty a VM."""
+        """Keeps new runs off a VM and starts to drain it; `reason` is logged."""
         if vm_id not in self.cordoned_at:
             log_event(Event.VM_CLOSED, vm=vm_id, reason=reason)
             self.cordoned_at[vm_id] = self.leadership.clock()
             self.dispatcher.cordoned_vms.add(vm_id)
 
     def uncordon(self, vm_id: str) -> None:
-        """Lets a VM get starts again."""
+        """Allows new runs on a VM again."""
         self.cordoned_at.pop(vm_id, None)
         self.dispatcher.cordoned_vms.discard(vm_id)
         self.dispatcher.changed.set()
 
     def is_empty(self, vm_id: str) -> bool:
-        """Tells whether nothing runs on a VM, as agreed."""
+        """Returns whether a VM has no runs according to the replicated state."""
         record = self.leadership.state.tables.vms.get(vm_id)
         return record is None or not record.runs
 
     def has_long_running(self, vm_id: str) -> bool:
-        """Tells whether a long-running task is on a VM; these end only within their allowance."""
+        """Returns whether a VM has runs of long-running tasks; they are stopped only within their allowance."""
         tables = self.leadership.state.tables
         record = tables.vms.get(vm_id)
         for key in record.runs if record is not None else ():
@@ -66,7 +67,7 @@
         return False
 
     def evict_runs(self) -> None:
-        """Asks for the stops that are allowed now."""
+        """Requests the stops of runs on cordoned VMs that are allowed now, and uncordons VMs that are gone."""
         for vm_id in list(self.cordoned_at):
             link = self.links.get(vm_id)
             record = self.leadership.state.tables.vms.get(vm_id)
@@ -74,33 +75,33 @@
                 self.uncordon(vm_id)
                 continue
             for key in sorted(record.runs):
-                self._consider(key, link=link, vm_id=vm_id)
+                self._stop_if_allowed(key, link=link, vm_id=vm_id)
 
-    def _consider(self, key: str, *, link: VmLink, vm_id: str) -> None:
+    def _stop_if_allowed(self, key: str, *, link: VmLink, vm_id: str) -> None:
         tables = self.leadership.state.tables
         name, _, run = key.rpartition("/")
         task = TaskId.parse(name)
         step = tables.workflows[task.workflow].spec.steps[task.step]
         if step.long_running:
             if may_interrupt(tables=tables, task=task, is_at_work=self._is_at_work):
-                self._stop(task, run=int(run), link=link)
-        elif step.checkpointing and self.leadership.clock() - self.cordoned_at[vm_id] > FINISH_S:
-            self._stop(task, run=int(run), link=link)
+                self._request_stop(task, run=int(run), link=link)
+        elif step.checkpointing and self.leadership.clock() - self.cordoned_at[vm_id] > FINISH_TIME_S:
+            self._request_stop(task, run=int(run), link=link)
 
-    def _stop(self, task: TaskId, *, run: int, link: VmLink) -> None:
-        link.orders.ask_stop(task=task.name, run=run, reason="its VM is emptied")
+    def _request_stop(self, task: TaskId, *, run: int, link: VmLink) -> None:
+        link.orders.ask_stop(task=task.name, run=run, reason="its VM is being drained")
 
     def _is_at_work(self, key: str) -> bool:
         task = key.rpartition("/")[0]
         for run in self.leadership.state.tables.runs.get(task, ()):
             link = self.links.get(run.vm)
             if link is None or run.key != key or link.orders.is_stop_asked(key):
-                continue  # a listing may be older than the stop
+                continue  # the last list of the VM's runs may be older than the stop
             if not link.in_contact(self.leadership.clock()):
                 continue
             row = link.rows.get(key)
             if row is not None:
-                return row.percent == AT_WORK_PERCENT
+                return row.percent == UNTHROTTLED_PERCENT
         return False
 
 
--- a/src/hyssopway/dispatch/wave_executor.py
+++ b/src/hyssopway/dispatch/wave_executor.py
@@ -11,7 +11,7 @@
 from hyssopway.workflow import BeginMaintenance, ConfirmMaintenance, RemoveVm
 
 from .machine_calls import MachineCallError, MachineOrderResult, MachineState
-from .wave_choice import Candidate, choose_machines
+from .wave_selection import WaveCandidate, select_machines
 
 if TYPE_CHECKING:
     from hyssopway.workflow import WaveRecord
@@ -21,22 +21,22 @@
     from .machine_inventory import MachineInventory
     from .vm_drainer import VmDrainer
 
-STEP_S = 0.2
-IDLE_STEP_S = 0.5
-LIST_S = 0.8
-# A VM that still has short work after this long goes down with it.
+INTERVAL_S = 0.2
+IDLE_INTERVAL_S = 0.5
+MAX_LIST_AGE_S = 0.8
+# A VM that still runs short tasks after this long goes into maintenance nevertheless, which ends them.
 MAX_DRAIN_S = 8.0
 
 
 class WaveExecutor:
-    """Empties machines and orders their maintenance.
+    """Drains the machines of open waves and orders their maintenance.
 
     Attributes:
-        leadership: The term.
+        leadership: Term on whose behalf maintenance is ordered.
         calls: Client of the platform.
-        drainer: VMs that are being emptied.
-        maintenance_s: Duration of a maintenance.
-        machines: Machines as listed last.
+        drainer: Cordons the VMs of the machines and stops their runs.
+        maintenance_s: Duration of the maintenance of a machine in seconds.
+        machines: Machines as the platform lists them.
     """
 
     __slots__ = (
@@ -63,45 +63,45 @@
         self.machines = machines
 
     async def run(self) -> None:
-        """Works on all waves until the term ends."""
+        """Advances all open waves periodically until the term ends."""
         while self.leadership.holds:
             open_waves = [
                 wave for wave in self.leadership.state.tables.waves.values() if not wave.is_complete
             ]
             if not open_waves:
-                await asyncio.sleep(IDLE_STEP_S)
+                await asyncio.sleep(IDLE_INTERVAL_S)
                 continue
             if self.leadership.may_order():
-                await self.machines.refresh(max_age_s=LIST_S)
+                await self.machines.refresh(max_age_s=MAX_LIST_AGE_S)
                 for wave in open_waves:
                     await self.advance(wave)
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(INTERVAL_S)
 
     async def advance(self, wave: WaveRecord) -> None:
-        """Empties and orders the machines of a wave that may go now."""
-        await self._confirm_gone(wave)
-        await self._repeat_unconfirmed(wave)
-        self._close_more(wave)
+        """Drains further machines of a wave and orders the maintenance of those that are drained."""
+        await self._confirm_gone_machines(wave)
+        await self._repeat_unconfirmed_orders(wave)
+        self._cordon_more(wave)
         for machine_id in wave.machines:
             machine = self.machines.machines.get(machine_id)
-            if machine is None or machine_id in wave.begun or not self._is_emptied(machine):
+            if machine is None or machine_id in wave.begun or not self._is_drained(machine):
                 continue
-            if len(self._down_of(wave)) < wave.max_down and self.machines.is_available(machine_id):
-                await self._order(wave, machine=machine)
+            if len(self._find_down(wave)) < wave.max_down and self.machines.is_available(machine_id):
+                await self._begin_maintenance(wave, machine=machine)
 
-    def _is_emptied(self, machine: Machine) -> bool:
+    def _is_drained(self, machine: Machine) -> bool:
         if machine.vm_id not in self.leadership.state.tables.vms:
-            return True  # it is switched off, or its VM has not announced itself and runs nothing
-        closed_at = self.drainer.cordoned_at.get(machine.vm_id)
-        if closed_at is None:
+            return True  # the machine is off, or its VM has not registered and so has no runs
+        cordoned_at = self.drainer.cordoned_at.get(machine.vm_id)
+        if cordoned_at is None:
             return False
-        emptying_s = self.leadership.clock() - closed_at
-        if emptying_s >= MAX_DRAIN_S:
+        drain_s = self.leadership.clock() - cordoned_at
+        if drain_s >= MAX_DRAIN_S:
             return not self.drainer.has_long_running(machine.vm_id)
         return self.drainer.is_empty(machine.vm_id)
 
-    def _down_of(self, wave: WaveRecord) -> set[str]:
-        """Machines that may be down for this wave: begun, and not known to be back."""
+    def _find_down(self, wave: WaveRecord) -> set[str]:
+        """Returns the IDs of machines that may be down for a wave: maintenance has begun, and may not have ended."""
         unconfirmed = set(wave.begun) - wave.confirmed
         known_down = {
             machine_id
@@ -110,7 +110,7 @@
         }
         return unconfirmed | known_down
 
-    def _count_emptying(self, wave: WaveRecord) -> int:
+    def _count_draining(self, wave: WaveRecord) -> int:
         machines = (self.machines.machines.get(machine_id) for machine_id in wave.machines)
         return sum(machine is not None and machine.vm_id in self.drainer.cordoned_at for machine in machines)
 
@@ -118,7 +118,7 @@
         machine = self.machines.machines.get(machine_id)
         return machine is not None and machine.state is MachineState.MAINTENANCE
 
-    async def _confirm_gone(self, wave: WaveRecord) -> None:
+    async def _confirm_gone_machines(self, wave: WaveRecord) -> None:
         for machine_id in wave.machines:
             if machine_id not in wave.confirmed and self.machines.is_gone(machine_id):
                 log_event(
@@ -126,13 +126,13 @@
                 )
                 await self.leadership.propose(ConfirmMaintenance(wave=wave.number, machine=machine_id))
 
-    async def _repeat_unconfirmed(self, wave: WaveRecord) -> None:
+    async def _repeat_unconfirmed_orders(self, wave: WaveRecord) -> None:
         for machine_id in sorted(set(wave.begun) - wave.confirmed):
             machine = self.machines.machines.get(machine_id)
             if machine is not None and self.machines.may_order(machine_id):
-                await self._send(wave, machine=machine)
+                await self._send_order(wave, machine=machine)
 
-    def _close_more(self, wave: WaveRecord) -> None:
+    def _cordon_more(self, wave: WaveRecord) -> None:
         tables = self.leadership.state.tables
         use = self.leadership.state.indexes.vm_use
         waiting = self.drainer.dispatcher.waiting_millis
@@ -146,7 +146,7 @@
             and machine.vm_id not in self.drainer.cordoned_at
         ]
         candidates = [
-            Candidate(
+            WaveCandidate(
                 machine_id=machine.machine_id,
                 vm_id=machine.vm_id,
                 pool=machine.pool,
@@ -155,29 +155,31 @@
             )
             for machine in pending
         ]
-        closed = Counter(tables.vms[vm_id].pool for vm_id in self.drainer.cordoned_at if vm_id in tables.vms)
-        down = self._down_of(wave)
+        unavailable = Counter(
+            tables.vms[vm_id].pool for vm_id in self.drainer.cordoned_at if vm_id in tables.vms
+        )
+        down = self._find_down(wave)
         for machine_id in down:
             if machine_id in self.machines.machines:
-                closed[self.machines.machines[machine_id].pool] += 1
+                unavailable[self.machines.machines[machine_id].pool] += 1
         self.drainer.dispatcher.awaiting_maintenance = {machine.vm_id for machine in pending}
-        chosen = choose_machines(
+        selected = select_machines(
             candidates=candidates,
             pool_sizes=Counter(vm.pool for vm in tables.vms.values()),
-            closed_by_pool=closed,
-            room=wave.max_down - len(down) - self._count_emptying(wave),
-            left_s=(wave.deadline_ms - wall_ms()) / 1000,
+            unavailable_by_pool=unavailable,
+            max_added=wave.max_down - len(down) - self._count_draining(wave),
+            remaining_s=(wave.deadline_ms - wall_ms()) / 1000,
             max_down=wave.max_down,
         )
-        for one in chosen:
-            self.drainer.cordon(one.vm_id, reason=f"wave {wave.number}")
+        for candidate in selected:
+            self.drainer.cordon(candidate.vm_id, reason=f"wave {wave.number}")
 
-    async def _order(self, wave: WaveRecord, *, machine: Machine) -> None:
+    async def _begin_maintenance(self, wave: WaveRecord, *, machine: Machine) -> None:
         command = BeginMaintenance(wave=wave.number, machine=machine.machine_id, at_ms=wall_ms())
         await self.leadership.propose(command)
-        await self._send(wave, machine=machine)
+        await self._send_order(wave, machine=machine)
 
-    async def _send(self, wave: WaveRecord, *, machine: Machine) -> None:
+    async def _send_order(self, wave: WaveRecord, *, machine: Machine) -> None:
         if not self.leadership.may_order():
             return
         try:
@@ -193,12 +195,12 @@
         log_event(Event.MAINTENANCE_ORDERED, machine=machine.machine_id, wave=wave.number, result=str(result))
         match result:
             case MachineOrderResult.DONE:
-                self.machines.note_order(machine.machine_id, duration_s=self.maintenance_s)
+                self.machines.record_order(machine.machine_id, duration_s=self.maintenance_s)
                 await self._confirm(wave, machine=machine)
             case MachineOrderResult.GONE | MachineOrderResult.NOT_DUE:
                 await self._confirm(wave, machine=machine)
             case MachineOrderResult.BUSY | MachineOrderResult.FENCED:
-                pass  # asked again in the next step
+                pass  # ordered again in the next iteration
 
     async def _confirm(self, wave: WaveRecord, *, machine: Machine) -> None:
         await self.leadership.propose(ConfirmMaintenance(wave=wave.number, machine=machine.machine_id))
--- a/tests/dispatch/test_machine_inventory.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -1,4 +1,4 @@
-"""Orders about machines of two leaders, one after the other."""
+"""Orders of two consecutive leaders for the same machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hyssopway.workflow import NoteMachineOrders
 
 
-class FakeMachines:
+class FakePlatform:
     """Lists two machines."""
 
     def __init__(self):
@@ -25,29 +25,32 @@
 
 
 @pytest.fixture
-async def machines(leadership):
+async def inventory(leadership):
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineInventory(
-        leadership=leadership, calls=FakeMachines(), machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=leadership, calls=FakePlatform(), machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=1.0)
     return built
 
 
-def test_machine_that_a_former_leader_ordered_is_left_alone(machines, leadership):
-    """Guards against two leaders that order one machine within a turn: its last order was a move ago at least."""
-    assert [machines.is_available(name) for name in ("m1", "m2")] == [False, True]
+def test_machine_ordered_by_a_former_leader_is_not_available_at_once(inventory, leadership):
+    """Guards against orders of two leaders for one machine within the machine lease.
+
+    The machine is up, so its last order is at least the duration of a move ago.
+    """
+    assert [inventory.is_available(name) for name in ("m1", "m2")] == [False, True]
     leadership.now += LIMITS.turn_s - LIMITS.move_s - 0.1
-    assert not machines.is_available("m1")
+    assert not inventory.is_available("m1")
     leadership.now += 0.2
-    assert machines.is_available("m1")
+    assert inventory.is_available("m1")
 
 
-async def test_machine_that_is_not_up_waits_a_whole_turn(leadership):
-    """Guards against counting the turn from an order that may have come just before the term."""
+async def test_machine_that_is_not_up_waits_for_the_whole_machine_lease(leadership):
+    """Guards against a lease that is counted too early: the last order may have come just before the term started."""
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
-    calls = FakeMachines()
+    calls = FakePlatform()
     calls.states["m1"] = MachineState.MOVING
     built = MachineInventory(
         leadership=leadership, calls=calls, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
@@ -59,27 +62,30 @@
     assert built.may_order("m1")
 
 
-async def test_order_that_was_on_its_way_for_long_makes_the_turn_whole(machines, leadership):
-    """Guards against an order right after one of a former leader that the first list did not show."""
-    machines.calls.states["m1"] = MachineState.MOVING
+async def test_delayed_order_of_a_former_leader_keeps_the_whole_machine_lease(inventory, leadership):
+    """Guards against an order right after one of a former leader that took long to arrive.
+
+    The first list of the new leader still shows the machine up, and a later one shows it moving.
+    """
+    inventory.calls.states["m1"] = MachineState.MOVING
     leadership.now += 1.1
-    await machines.refresh(max_age_s=1.0)
+    await inventory.refresh(max_age_s=1.0)
     leadership.now += LIMITS.turn_s - LIMITS.move_s
-    assert not machines.may_order("m1")
+    assert not inventory.may_order("m1")
 
 
-async def test_turn_is_not_counted_anew_with_each_list(machines, leadership):
-    """Guards against a machine that no leader may order for as long as it is listed."""
+async def test_machine_lease_does_not_restart_with_each_list(inventory, leadership):
+    """Guards against a machine that the leader may never order because each list extends its lease."""
     leadership.now += LIMITS.turn_s - LIMITS.move_s + 0.1
-    await machines.refresh(max_age_s=0.0)
-    assert machines.is_available("m1")
+    await inventory.refresh(max_age_s=0.0)
+    assert inventory.is_available("m1")
 
 
-async def test_machine_is_away_until_a_list_shows_it_up(machines, leadership):
-    """Guards against a second order for a machine that is on its way."""
-    machines.note_order("m2", duration_s=2.0)
-    await machines.refresh(max_age_s=0.0)
-    assert not machines.is_available("m2")
+async def test_ordered_machine_is_unavailable_until_a_list_shows_it_up(inventory, leadership):
+    """Guards against a second order for a machine that is still moving."""
+    inventory.record_order("m2", duration_s=2.0)
+    await inventory.refresh(max_age_s=0.0)
+    assert not inventory.is_available("m2")
     leadership.now += 2.5
-    await machines.refresh(max_age_s=0.0)
-    assert machines.is_available("m2")
+    await inventory.refresh(max_age_s=0.0)
+    assert inventory.is_available("m2")
--- a/tests/dispatch/test_pool_rebalancer.py
+++ b/tests/dispatch/test_pool_rebalancer.py
@@ -1,4 +1,4 @@
-"""Machines that follow the demand of the pools."""
+"""Moves of machines between pools according to demand."""
 
 from __future__ import annotations
 
@@ -17,23 +17,24 @@
 from hyssopway.dispatch.vm_drainer import VmDrainer
 from workflow.conftest import make_vm
 
-VMS = ("vm-1", "vm-2")
-SPARE = tuple(f"m{number}" for number in range(3, 12))
+VM_IDS = ("vm-1", "vm-2")
+STANDBY_MACHINES = tuple(f"m{number}" for number in range(3, 12))
 ORDER_S = 0.02
 
 
 class FakePlatform:
-    """Lists two machines of a pool and some that wait in the standby pool.
+    """Lists two machines of a pool and nine in the standby pool.
 
     Attributes:
-        moves: Orders in the order of their arrival.
-        at_once: Most orders that were in progress at the same time.
+        moves: Machine and target pool of each move order, in the order of arrival.
+        in_progress: Number of move orders in progress.
+        max_concurrent: Largest number of move orders that were in progress at the same time.
     """
 
     def __init__(self):
         self.moves = []
         self.in_progress = 0
-        self.at_once = 0
+        self.max_concurrent = 0
 
     async def list_machines(self):
         busy = [
@@ -42,14 +43,14 @@
         ]
         spare = [
             Machine(machine_id=name, pool="spare", state=MachineState.UP, zone="nashua", vm_id="")
-            for name in SPARE
+            for name in STANDBY_MACHINES
         ]
         return busy + spare
 
     async def order_move(self, *, machine_id, pool, fencing_token, may_send):
         self.moves.append((machine_id, pool))
         self.in_progress += 1
-        self.at_once = max(self.at_once, self.in_progress)
+        self.max_concurrent = max(self.max_concurrent, self.in_progress)
         await asyncio.sleep(ORDER_S)
         self.in_progress -= 1
         return MachineOrderResult.DONE
@@ -64,7 +65,7 @@
 async def rebalancer(fleet, vms, platform):
     await fleet.propose(make_vm("vm-2"))
     links = {}
-    for name in VMS:
+    for name in VM_IDS:
         links[name] = make_link(name, leadership=fleet, calls=vms)
         await links[name].look()
     drainer = VmDrainer(leadership=fleet, links=links, dispatcher=Dispatcher(leadership=fleet, links=links))
@@ -83,7 +84,7 @@
     )
 
 
-async def step(rebalancer, *, waiting_millis=0):
+async def rebalance(rebalancer, *, waiting_millis=0):
     loads = measure_pools(
         tables=rebalancer.leadership.state.tables,
         waiting_millis={"vans": waiting_millis} if waiting_millis else {},
@@ -91,23 +92,27 @@
     await rebalancer.rebalance("spare", loads=loads)
 
 
-async def test_pool_keeps_two_vms(rebalancer, platform):
-    """Guards against machines ordered for a pool that has what it needs."""
-    await step(rebalancer)
+async def test_idle_pool_with_two_vms_orders_no_moves(rebalancer, platform):
+    """Guards against orders for a pool that has the VMs that it needs."""
+    await rebalance(rebalancer)
     assert platform.moves == []
 
 
-async def test_vm_that_is_emptied_is_replaced(rebalancer, platform):
-    """Guards against tasks that find no VM while a maintenance wave empties one of two.
+async def test_cordoned_vm_is_replaced(rebalancer, platform):
+    """Guards against tasks that find no VM while a maintenance wave drains one of two.
 
-    An emptied VM gets no starts and may have to keep long-running tasks until others are at work elsewhere.
+    A cordoned VM gets no starts, and may have to keep long-running tasks until others of the step run elsewhere.
     """
     rebalancer.drainer.cordon("vm-1", reason="wave 1")
-    await step(rebalancer)
+    await rebalance(rebalancer)
     assert [pool for _, pool in platform.moves] == ["vans"]
 
 
-async def test_machines_of_a_turn_are_ordered_together(rebalancer, platform):
-    """Guards against a pool that waits for its machines while orders follow each other one by one."""
-    await step(rebalancer, waiting_millis=8 * 8000)
-    assert platform.at_once == len(platform.moves) == int(LIMITS.machine_orders_per_s * RATE_SHARE * KEEP_S)
+async def test_moves_for_a_load_peak_are_ordered_concurrently(rebalancer, platform):
+    """Guards against a pool that gets its machines late because their moves are ordered one after another."""
+    await rebalance(rebalancer, waiting_millis=8 * 8000)
+    assert (
+        platform.max_concurrent
+        == len(platform.moves)
+        == int(LIMITS.machine_orders_per_s * RATE_SHARE * KEEP_S)
+    )
--- a/tests/dispatch/test_vm_drainer.py
+++ b/tests/dispatch/test_vm_drainer.py
@@ -1,4 +1,4 @@
-"""Long-running tasks on VMs that are emptied."""
+"""Drains of VMs with long-running tasks."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 
 async def test_one_task_of_a_step_is_interrupted_at_a_time(drainer, vms):
-    """Guards against a second interruption after a listing that was older than the first stop."""
+    """Guards against a second interruption because of a list of runs that is older than the first stop."""
     for name in ("vm-1", "vm-2"):
         drainer.cordon(name, reason="test")
     for _ in range(3):
         drainer.evict_runs()
         await asyncio.sleep(0)
         for link in drainer.links.values():
-            await link.look()  # the VMs list both tasks as at work still
+            await link.look()  # the VMs still list both tasks as running
     assert {task for order, task, _ in vms.orders if order == "stop"} == {"steady.0.0.0"}
 
 
-async def test_closed_vm_gets_starts_again_when_it_is_reopened(drainer):
-    """Guards against a VM that stays closed after its order was refused."""
+async def test_uncordoned_vm_may_get_starts_again(drainer):
+    """Guards against a VM that stays cordoned after the order for its machine was refused."""
     drainer.cordon("vm-1", reason="test")
     assert drainer.dispatcher.cordoned_vms == {"vm-1"}
     drainer.uncordon("vm-1")
--- a/tests/dispatch/test_wave_executor.py
+++ b/tests/dispatch/test_wave_executor.py
@@ -1,4 +1,4 @@
-"""Maintenance waves over VMs with work."""
+"""Maintenance waves over VMs with runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineOrderResult, MachineState
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.machine_inventory import GONE_S, MachineInventory
+from hyssopway.dispatch.machine_inventory import GONE_AFTER_S, MachineInventory
 from hyssopway.dispatch.vm_drainer import VmDrainer
 from hyssopway.dispatch.wave_executor import MAX_DRAIN_S, WaveExecutor
 from hyssopway.workflow import RunStart, StartRuns, StartWave, Step
@@ -61,7 +61,7 @@
     )
 
 
-async def run_task(fleet, step):
+async def start_task(fleet, step):
     await fleet.propose(make_workflow("busy", steps=(step,)))
     starts = (RunStart(task="busy.0.0.0", run=1, vm="vm-1"),)
     await fleet.propose(StartRuns(fencing_token=fleet.term, starts=starts))
@@ -76,31 +76,31 @@
     return wave
 
 
-async def test_empty_vm_goes_at_once(waves, platform):
-    """Guards against a wave that waits for nothing."""
+async def test_idle_vm_goes_into_maintenance_at_once(waves, platform):
+    """Guards against a wave that waits although its VM has no runs."""
     wave = await advance(waves, seconds=2)
     assert platform.orders == ["m1"]
     assert wave.is_complete
 
 
-async def test_short_work_holds_a_wave_up_for_a_bounded_time(waves, platform, fleet):
-    """Guards against one task that keeps a wave from ending."""
-    await run_task(fleet, Step(count=1))
+async def test_short_task_delays_maintenance_for_a_bounded_time(waves, platform, fleet):
+    """Guards against a wave that one task keeps from completing."""
+    await start_task(fleet, Step(count=1))
     await advance(waves, seconds=MAX_DRAIN_S - 2)
     assert platform.orders == []
     await advance(waves, seconds=5)
     assert platform.orders == ["m1"]
 
 
-async def test_long_running_task_is_never_ended_by_maintenance(waves, platform, fleet):
-    """Guards against an interruption beyond the allowance of the step after a long wait."""
-    await run_task(fleet, Step(count=3, long_running=True, disruption_allowance=1))
+async def test_maintenance_never_ends_a_long_running_task(waves, platform, fleet):
+    """Guards against an interruption beyond the disruption allowance of a step after a long wait."""
+    await start_task(fleet, Step(count=3, long_running=True, disruption_allowance=1))
     await advance(waves, seconds=MAX_DRAIN_S * 3)
     assert platform.orders == []
 
 
-async def test_machine_that_one_list_lacks_still_gets_its_maintenance(waves, platform):
-    """Guards against a machine that is taken for gone because the pages of one list shifted while they were read."""
+async def test_machine_missing_from_one_list_still_gets_its_maintenance(waves, platform):
+    """Guards against a machine that counts as gone because the pages of one list shifted while they were read."""
     platform.missing = True
     waves.leadership.now += 1.0
     await waves.machines.refresh(max_age_s=1.0)
@@ -114,9 +114,9 @@
 
 
 async def test_machine_that_joined_after_the_last_list_gets_its_maintenance(waves, platform, fleet):
-    """Guards against a wave that is called complete although a machine of it stays as it was (MIXED).
+    """Guards against a wave that is complete although one of its machines had no maintenance (MIXED).
 
-    Replays a wave that names a machine 0.3 s after its VM joined, while the last list is 0.7 s old.
+    The wave names a machine 0.3 s after its VM joined, while the last list of machines is 0.7 s old and lacks it.
     """
     waves.leadership.now += 60.0
     await waves.machines.refresh(max_age_s=1.0)
@@ -132,11 +132,11 @@
     assert wave.is_complete
 
 
-async def test_wave_ends_without_a_machine_that_is_gone(waves, platform):
-    """Guards against a wave that waits for ever for a machine that no longer exists."""
+async def test_wave_completes_without_a_machine_that_is_gone(waves, platform):
+    """Guards against a wave that waits forever for a machine that no longer exists."""
     platform.missing = True
     waves.leadership.now += 1.0
     await waves.machines.refresh(max_age_s=1.0)
-    wave = await advance(waves, seconds=GONE_S + 3)
+    wave = await advance(waves, seconds=GONE_AFTER_S + 3)
     assert wave.is_complete
     assert platform.orders == []
