--- a/src/hyssopway/dispatch/machine_inventory.py
+++ b/src/hyssopway/dispatch/machine_inventory.py
@@ -16,8 +16,7 @@
 RETRY_S = 0.5
 # Largest difference between the wall clocks of two nodes, also after a clock step.
 MAX_CLOCK_SKEW_S = 5.0
-# Time for which a machine must be missing from lists before it counts as gone: it may have joined after the last list
-# was read, or be missing from a list whose pages shifted while they were read.
+# A machine may have joined after the last list was read, or be missing from a list whose pages shifted.
 GONE_AFTER_S = 3.0
 
 
@@ -30,18 +29,17 @@
         machines: Machines of the last list by machine ID.
         listed_at: Local time at which the last list was requested.
         missing_since: Local time since which each machine has been missing from lists, by machine ID.
-        ordered: Machines that this leader ordered to move or into maintenance, with the local time until which lists
-            may still show them up.
-        last_attempt_at: Local time of the last attempt to read the list.
+        ordered: Machines that were ordered to move or into maintenance, with the local time until which a list
+            may not show it yet.
+        tried_at: Local time of the last attempt to read the list.
         machine_lease_s: Shortest time in seconds between orders of two leaders for one machine.
         min_down_s: Shortest time in seconds for which an order keeps a machine from being up.
-        orderable_at: Local time from which this leader may order a machine that a former leader may have ordered
-            recently, by machine ID.
+        orderable_at: Machines that a former leader may have ordered recently, with the local time from
+            which this one may order them.
     """
 
     __slots__ = (
         "calls",
-        "last_attempt_at",
         "leadership",
         "listed_at",
         "machine_lease_s",
@@ -50,6 +48,7 @@
         "missing_since",
         "orderable_at",
         "ordered",
+        "tried_at",
     )
 
     def __init__(
@@ -60,7 +59,7 @@
         self.machines: dict[str, Machine] = {}
         self.listed_at = float("-inf")
         self.missing_since: dict[str, float] = {}
-        self.last_attempt_at = float("-inf")
+        self.tried_at = float("-inf")
         self.ordered: dict[str, float] = {}
         self.machine_lease_s = machine_lease_s
         self.min_down_s = min_down_s
@@ -75,9 +74,9 @@
     async def refresh(self, *, max_age_s: float) -> None:
         """Reads the list again when it is older than `max_age_s` seconds; keeps the old list on an error."""
         now = self.leadership.clock()
-        if now - self.listed_at < max_age_s or now - self.last_attempt_at < RETRY_S:
+        if now - self.listed_at < max_age_s or now - self.tried_at < RETRY_S:
             return
-        self.last_attempt_at = now
+        self.tried_at = now
         try:
             machines = await self.calls.list_machines()
         except MachineCallError as error:
@@ -114,11 +113,10 @@
         return self.leadership.clock() >= self.orderable_at.get(machine_id, float("-inf"))
 
     def _update_orderable_at(self) -> None:
-        """Updates from when on this leader may order the machines that a former leader may have ordered.
+        """Counts the machine lease of a machine that is up from the latest time at which it can have got an order.
 
-        For a machine that is up, `machine_lease_s` counts from `min_down_s` ago: a former leader orders nothing after
-        the start of this term, and a machine that it ordered since then would not be up yet. A machine that is not up
-        any more got an order that took long to arrive, so that the time counts from the start of this term.
+        A former leader orders nothing after the start of this term, and a machine that it had ordered since
+        would not be up yet. A machine that is not up any more got an order that took long to arrive.
         """
         latest_order_at = self.leadership.clock() - self.min_down_s
         for machine_id, previous_at in self.orderable_at.items():
--- a/src/hyssopway/dispatch/wave_executor.py
+++ b/src/hyssopway/dispatch/wave_executor.py
@@ -11,7 +11,7 @@
 from hyssopway.workflow import BeginMaintenance, ConfirmMaintenance, RemoveVm
 
 from .machine_calls import MachineCallError, MachineOrderResult, MachineState
-from .wave_selection import WaveCandidate, select_machines
+from .wave_choice import WaveCandidate, select_machines
 
 if TYPE_CHECKING:
     from hyssopway.workflow import WaveRecord
--- a/tests/dispatch/test_machine_inventory.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -25,7 +25,7 @@
 
 
 @pytest.fixture
-async def inventory(leadership):
+async def machines(leadership):
     await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineInventory(
@@ -35,16 +35,16 @@
     return built
 
 
-def test_machine_ordered_by_a_former_leader_is_not_available_at_once(inventory, leadership):
+def test_machine_ordered_by_a_former_leader_is_not_available_at_once(machines, leadership):
     """Guards against orders of two leaders for one machine within the machine lease.
 
     The machine is up, so its last order is at least the duration of a move ago.
     """
-    assert [inventory.is_available(name) for name in ("m1", "m2")] == [False, True]
+    assert [machines.is_available(name) for name in ("m1", "m2")] == [False, True]
     leadership.now += LIMITS.turn_s - LIMITS.move_s - 0.1
-    assert not inventory.is_available("m1")
+    assert not machines.is_available("m1")
     leadership.now += 0.2
-    assert inventory.is_available("m1")
+    assert machines.is_available("m1")
 
 
 async def test_machine_that_is_not_up_waits_for_the_whole_machine_lease(leadership):
@@ -62,30 +62,30 @@
     assert built.may_order("m1")
 
 
-async def test_delayed_order_of_a_former_leader_keeps_the_whole_machine_lease(inventory, leadership):
+async def test_delayed_order_of_a_former_leader_keeps_the_whole_machine_lease(machines, leadership):
     """Guards against an order right after one of a former leader that took long to arrive.
 
     The first list of the new leader still shows the machine up, and a later one shows it moving.
     """
-    inventory.calls.states["m1"] = MachineState.MOVING
+    machines.calls.states["m1"] = MachineState.MOVING
     leadership.now += 1.1
-    await inventory.refresh(max_age_s=1.0)
+    await machines.refresh(max_age_s=1.0)
     leadership.now += LIMITS.turn_s - LIMITS.move_s
-    assert not inventory.may_order("m1")
+    assert not machines.may_order("m1")
 
 
-async def test_machine_lease_does_not_restart_with_each_list(inventory, leadership):
+async def test_machine_lease_does_not_restart_with_each_list(machines, leadership):
     """Guards against a machine that the leader may never order because each list extends its lease."""
     leadership.now += LIMITS.turn_s - LIMITS.move_s + 0.1
-    await inventory.refresh(max_age_s=0.0)
-    assert inventory.is_available("m1")
+    await machines.refresh(max_age_s=0.0)
+    assert machines.is_available("m1")
 
 
-async def test_ordered_machine_is_unavailable_until_a_list_shows_it_up(inventory, leadership):
+async def test_ordered_machine_is_unavailable_until_a_list_shows_it_up(machines, leadership):
     """Guards against a second order for a machine that is still moving."""
-    inventory.record_order("m2", duration_s=2.0)
-    await inventory.refresh(max_age_s=0.0)
-    assert not inventory.is_available("m2")
+    machines.record_order("m2", duration_s=2.0)
+    await machines.refresh(max_age_s=0.0)
+    assert not machines.is_available("m2")
     leadership.now += 2.5
-    await inventory.refresh(max_age_s=0.0)
-    assert inventory.is_available("m2")
+    await machines.refresh(max_age_s=0.0)
+    assert machines.is_available("m2")
--- a/tests/dispatch/test_pool_plan.py
+++ b/tests/dispatch/test_pool_plan.py
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(
-    ("demand", "min_vms"),
+    ("demanded", "least"),
     [
         pytest.param(make_demand("a", vms=8), MIN_VMS, id="no work"),
         pytest.param(make_demand("a", vms=8, step=2.5 * VM_MILLIS), 3, id="large steps"),
@@ -82,9 +82,9 @@
         ),
     ],
 )
-def test_required_vms_cover_present_and_expected_demand(demand, min_vms):
+def test_required_vms_cover_present_and_expected_demand(demanded, least):
     """Guards against a pool that is too small for its present or its expected work."""
-    assert required_vms(demand, vm_millis=VM_MILLIS) >= min_vms
+    assert required_vms(demanded, vm_millis=VM_MILLIS) >= least
 
 
 def test_forecast_does_not_lower_the_required_vms_below_present_demand():
--- a/tests/dispatch/test_wave_selection.py
+++ b/tests/dispatch/test_wave_choice.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hyssopway.dispatch.wave_selection import WaveCandidate, select_machines
+from hyssopway.dispatch.wave_choice import WaveCandidate, select_machines
 
 
 def make_candidate(name, *, pool="a", busy=0, waiting=0):
