--- a/src/hyssopway/dispatch/advice_calls.py
+++ b/src/hyssopway/dispatch/advice_calls.py
@@ -1,4 +1,4 @@
-"""Questions to the advisor of a queue."""
+"""Interface of a queue's advisor, which decides on which VMs a step may run."""
 
 from __future__ import annotations
 
@@ -13,10 +13,18 @@
     """Client of the advisor."""
 
     async def advise(self, *, step: str, vms: tuple[str, ...], timeout_s: float) -> dict[str, str]:
-        """Returns a ticket for each of the VMs that may run a step.
+        """Requests tickets that allow a step to run on VMs.
+
+        Args:
+            step: Name of the step: workflow, occurrence and step number.
+            vms: IDs of the VMs to ask about.
+            timeout_s: Timeout of the request in seconds.
+
+        Returns:
+            A ticket for each VM that may run the step, by VM ID.
 
         Raises:
-            AdviceError: There was no usable answer in time, or the advisor is busy.
+            AdviceError: There was no usable answer within the timeout, or the advisor is busy.
         """
         ...
 
--- a/src/hyssopway/dispatch/advice_fetcher.py
+++ b/src/hyssopway/dispatch/advice_fetcher.py
@@ -1,4 +1,4 @@
-"""Asks the advisor for the tickets of steps that start soon, on behalf of one leader."""
+"""Requests the tickets of steps that start soon from advisors, on behalf of one leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hyssopway.workflow import TaskId
 
 from .advice_calls import AdviceError
-from .advice_plan import AdvisedStep, choose_question, is_near
+from .advice_plan import AdvisedStep, choose_request, is_almost_ready
 from .ordering import service_order_key
 
 if TYPE_CHECKING:
@@ -19,41 +19,41 @@
     from hyssopway.workflow import Workflow, WorkflowState
 
     from .advice_calls import AdviceCalls
-    from .advice_plan import Question
+    from .advice_plan import AdviceRequest
     from .free_capacity import FreeCapacity
     from .ticket_cache import TicketCache
 
-STEP_S = 0.05
-# Beside the advisor's own time: the way, and a slow advisor.
-MARGIN_S = 1.0
+POLL_INTERVAL_S = 0.05
+# Added to the declared decision time of the advisor, for the network and for a slow advisor.
+TIMEOUT_MARGIN_S = 1.0
 RETRY_S = 0.2
-# Share of approved VMs before anything is known, and the questions that it counts for.
-FIRST_GOOD_SHARE = 0.5
+# Prior estimate of the share of approved VMs, and the number of VMs that it weighs as much as.
+PRIOR_APPROVAL_RATE = 0.5
 PRIOR_VMS = 10.0
 
 
 class AdviceFetcher:
-    """One question after another: an advisor takes those of one node in turn anyway.
+    """Sends one advice request after another; an advisor handles the requests of one node one at a time anyway.
 
     Attributes:
-        state: Agreed state.
+        state: Replicated state.
         calls: Client of the advisor.
-        tickets: Tickets.
-        clock: Monotonic seconds.
-        wall_ms: Wall clock, for the order of service.
-        list_rooms: Returns the free capacity by pool.
-        on_tickets: Called after an answer.
-        asked_vms: VMs asked about.
-        good_vms: VMs approved of.
+        tickets: Cache that receives the tickets.
+        clock: Monotonic clock in seconds.
+        wall_ms: Wall clock in milliseconds, for the service order.
+        list_free_capacity: Returns the free capacity of VMs by pool.
+        on_tickets: Called after each answer.
+        requested_vms: Number of VMs that requests have named.
+        approved_vms: Number of these that the advisor approved of.
     """
 
     __slots__ = (
-        "asked_vms",
+        "approved_vms",
         "calls",
         "clock",
-        "good_vms",
         "list_free_capacity",
         "on_tickets",
+        "requested_vms",
         "state",
         "tickets",
         "wall_ms",
@@ -77,38 +77,38 @@
         self.wall_ms = wall_ms
         self.list_free_capacity = list_free_capacity
         self.on_tickets = on_tickets
-        self.asked_vms = 0
-        self.good_vms = 0
+        self.requested_vms = 0
+        self.approved_vms = 0
 
     async def run(self) -> None:
-        """Asks for as long as the task runs."""
+        """Sends requests until the task is cancelled."""
         while True:
             if not await self.ask_next():
-                await asyncio.sleep(STEP_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def ask_next(self) -> bool:
-        """Asks the next question and tells whether there was one."""
+        """Sends the next request; returns False when there was none to send."""
         steps = self.list_steps()
         if not steps:
             return False
-        question = choose_question(
+        request = choose_request(
             steps=steps,
-            rooms=self.list_free_capacity(),
+            free_by_pool=self.list_free_capacity(),
             boots={vm_id: vm.boot for vm_id, vm in self.state.tables.vms.items()},
             tickets=self.tickets,
-            good_share=self.good_share(),
+            approval_rate=self.approval_rate(),
         )
-        if question is None:
+        if request is None:
             return False
-        await self._ask(question)
+        await self._send(request)
         return True
 
-    def good_share(self) -> float:
-        """Returns the share of VMs that the advisor approves of."""
-        return (self.good_vms + FIRST_GOOD_SHARE * PRIOR_VMS) / (self.asked_vms + PRIOR_VMS)
+    def approval_rate(self) -> float:
+        """Returns the estimated share of VMs that the advisor approves of."""
+        return (self.approved_vms + PRIOR_APPROVAL_RATE * PRIOR_VMS) / (self.requested_vms + PRIOR_VMS)
 
     def list_steps(self) -> list[AdvisedStep]:
-        """Returns the steps that start now or soon and need tickets, in the order of service."""
+        """Returns the steps that start now or soon and need tickets, in the service order; ready steps come first."""
         queues = {name: queue for name, queue in self.state.indexes.queues.items() if queue.advisor}
         if not queues:
             return []
@@ -116,12 +116,12 @@
         for workflow_id in self.state.indexes.open_workflows:
             workflow = self.state.tables.workflows[workflow_id]
             if workflow.queue in queues:
-                found += self._list_of(workflow)
-        self.tickets.keep_steps(one.name for _, one in found)
+                found += self._list_workflow_steps(workflow)
+        self.tickets.keep_steps(advised.name for _, advised in found)
         found.sort(key=lambda pair: pair[0])
-        return [one for _, one in found]
+        return [advised for _, advised in found]
 
-    def _list_of(self, workflow: Workflow) -> list[tuple[tuple[float, ...], AdvisedStep]]:
+    def _list_workflow_steps(self, workflow: Workflow) -> list[tuple[tuple[float, ...], AdvisedStep]]:
         queue = self.state.indexes.queues[workflow.queue]
         policy = queue.advisor
         if policy is None:
@@ -132,7 +132,9 @@
                 workflow=workflow, occurrence=occurrence, queue=queue, now_ms=self.wall_ms()
             )
             for number, progress in enumerate(steps):
-                if not progress.pending or not is_near(workflow, occurrence=occurrence, number=number):
+                if not progress.pending or not is_almost_ready(
+                    workflow, occurrence=occurrence, number=number
+                ):
                     continue
                 is_ready = workflow.is_step_ready(occurrence=occurrence, step=number)
                 advised = AdvisedStep(
@@ -145,24 +147,24 @@
                 found.append(((float(not is_ready), *order), advised))
         return found
 
-    async def _ask(self, question: Question) -> None:
-        step, policy = question.step.name, question.step.policy
-        asked_at = self.clock()
-        timeout_s = (policy.decision_ms + policy.per_vm_ms * len(question.vms)) / 1000 + MARGIN_S
+    async def _send(self, request: AdviceRequest) -> None:
+        step, policy = request.step.name, request.step.policy
+        requested_at = self.clock()
+        timeout_s = (policy.decision_ms + policy.per_vm_ms * len(request.vms)) / 1000 + TIMEOUT_MARGIN_S
         try:
-            good = await self.calls.advise(step=step, vms=tuple(question.vms), timeout_s=timeout_s)
+            approved = await self.calls.advise(step=step, vms=tuple(request.vms), timeout_s=timeout_s)
         except AdviceError as error:
-            log_event(Event.ADVICE_FAILED, step=step, vms=len(question.vms), reason=str(error))
+            log_event(Event.ADVICE_FAILED, step=step, vms=len(request.vms), reason=str(error))
             await asyncio.sleep(RETRY_S)
             return
-        self.asked_vms += len(question.vms)
-        self.good_vms += len(good)
-        log_event(Event.ADVICE_TAKEN, step=step, vms=len(question.vms), good=len(good))
-        self.tickets.note_answer(
+        self.requested_vms += len(request.vms)
+        self.approved_vms += len(approved)
+        log_event(Event.ADVICE_TAKEN, step=step, vms=len(request.vms), good=len(approved))
+        self.tickets.record_answer(
             step,
-            asked=question.vms,
-            good=good,
-            asked_at=asked_at,
+            requested=request.vms,
+            approved=approved,
+            requested_at=requested_at,
             validity_s=policy.validity_ms / 1000,
         )
         self.on_tickets()
--- a/src/hyssopway/dispatch/advice_plan.py
+++ b/src/hyssopway/dispatch/advice_plan.py
@@ -1,8 +1,8 @@
-"""Decides what to ask an advisor next.
+"""Choice of the next request to an advisor.
 
-Answers the load pattern of queues whose steps may run on some VMs only, while the advisor takes one question at a time
-and its time grows with the VMs that are named: a step is asked about when the step before it is nearly done, with as
-many VMs as its tasks are likely to need.
+The steps of some queues may run only on VMs that an advisor approves of. The advisor handles one request at a time, and
+a request takes longer the more VMs it names. So a step is asked about when the steps before it are nearly done, and the
+request names as many VMs as the waiting tasks are expected to need.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     from .free_capacity import FreeCapacity
     from .ticket_cache import TicketCache
 
-MAX_VMS_A_QUESTION = 100
-# Share of its tasks that may be open when a step counts as nearly done.
-NEARLY_DONE_SHARE = 0.25
+MAX_VMS_PER_REQUEST = 100
+# Largest share of open tasks with which a step counts as nearly done.
+MAX_OPEN_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -31,11 +31,11 @@
     """A step that needs tickets.
 
     Attributes:
-        name: Workflow, occurrence and step, as in the names of tasks.
-        step: The step.
-        waiting: Tasks to start.
-        pool: Pool that runs it.
-        policy: Advisor of its queue.
+        name: Step name: workflow, occurrence and step number, as in task names.
+        step: What the tasks of the step need.
+        waiting: Number of tasks to start.
+        pool: Name of the pool that runs the step.
+        policy: Policy of the advisor of its queue.
     """
 
     name: str
@@ -46,58 +46,63 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Question:
-    """VMs to ask about for one step, with their boots."""
+class AdviceRequest:
+    """A request to an advisor.
+
+    Attributes:
+        step: Step that the request asks about.
+        vms: Boots by ID of the VMs that the request names.
+    """
 
     step: AdvisedStep
     vms: dict[str, int]
 
 
-def is_near(workflow: Workflow, *, occurrence: int, number: int) -> bool:
-    """Tells whether all steps before one are done or nearly done."""
+def is_almost_ready(workflow: Workflow, *, occurrence: int, number: int) -> bool:
+    """Returns whether all steps that a step depends on have no waiting tasks and are done or nearly done."""
     steps = workflow.progress[occurrence]
     return all(
         not steps[earlier].pending
-        and steps[earlier].open_count <= NEARLY_DONE_SHARE * workflow.spec.steps[earlier].count
+        and steps[earlier].open_count <= MAX_OPEN_SHARE * workflow.spec.steps[earlier].count
         for earlier in workflow.spec.steps[number].after
     )
 
 
-def choose_question(
+def choose_request(
     *,
     steps: Iterable[AdvisedStep],
-    rooms: dict[str, list[FreeCapacity]],
+    free_by_pool: dict[str, list[FreeCapacity]],
     boots: dict[str, int],
     tickets: TicketCache,
-    good_share: float,
-) -> Question | None:
-    """Returns the next question, or None when all steps have what they need.
+    approval_rate: float,
+) -> AdviceRequest | None:
+    """Returns the next request, or None when no step needs further tickets.
 
     Args:
         steps: Steps that need tickets, the most urgent first.
-        rooms: Free capacity by pool.
-        boots: Boots of VMs.
-        tickets: What is known.
-        good_share: Share of the VMs that an advisor approves of.
+        free_by_pool: Free capacity of VMs by pool.
+        boots: Boots by VM ID.
+        tickets: Answers received so far.
+        approval_rate: Share of VMs that the advisor is expected to approve of.
     """
-    for one in steps:
+    for advised in steps:
         placeable = 0
         unknown: list[FreeCapacity] = []
-        for room in rooms.get(one.pool, ()):
-            boot = boots[room.vm_id]
-            if tickets.read(one.name, vm=room.vm_id, boot=boot):
-                placeable += room.max_tasks(one.step)
-            elif not tickets.is_refused(one.name, vm=room.vm_id, boot=boot):
-                unknown.append(room)
-        lacking = one.waiting - placeable
-        if lacking <= 0 or not unknown:
+        for vm in free_by_pool.get(advised.pool, ()):
+            boot = boots[vm.vm_id]
+            if tickets.read(advised.name, vm=vm.vm_id, boot=boot):
+                placeable += vm.max_tasks(advised.step)
+            elif not tickets.is_refused(advised.name, vm=vm.vm_id, boot=boot):
+                unknown.append(vm)
+        missing = advised.waiting - placeable
+        if missing <= 0 or not unknown:
             continue
-        unknown.sort(key=lambda room: -room.max_tasks(one.step))
-        a_vm = max(1, unknown[0].max_tasks(one.step))
-        wanted = math.ceil(lacking / a_vm / good_share)
-        chosen = unknown[: min(MAX_VMS_A_QUESTION, wanted)]
-        return Question(step=one, vms={room.vm_id: boots[room.vm_id] for room in chosen})
+        unknown.sort(key=lambda vm: -vm.max_tasks(advised.step))
+        tasks_per_vm = max(1, unknown[0].max_tasks(advised.step))
+        wanted = math.ceil(missing / tasks_per_vm / approval_rate)
+        chosen = unknown[: min(MAX_VMS_PER_REQUEST, wanted)]
+        return AdviceRequest(step=advised, vms={vm.vm_id: boots[vm.vm_id] for vm in chosen})
     return None
 
 
-__all__ = ["AdvisedStep", "Question", "choose_question", "is_near"]
+__all__ = ["AdviceRequest", "AdvisedStep", "choose_request", "is_almost_ready"]
--- a/src/hyssopway/dispatch/demand_forecast.py
+++ b/src/hyssopway/dispatch/demand_forecast.py
@@ -1,7 +1,7 @@
-"""Forecasts the processor that the work of each pool needs when a machine ordered now arrives.
+"""Forecast of the CPU demand of each pool at the time when a machine ordered now arrives.
 
-Answers the load pattern of a queue whose turn begins or ends: the processor in use shows a rise too late and a fall
-too late, while the steps of the workflows that are open, and of those that arrive, show both before.
+When a burst of a queue begins or ends, the CPU in use shows the change too late. The remaining steps of open workflows
+and the rate of arriving workflows show it in advance.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
     from .ordering import StepSpan
 
-# Declared durations are rough, so the demand of one moment is the mean over this span around it.
-SMOOTH_S = 1.0
+# Declared durations are rough, so the demand is the mean over a window of this length around the forecast time.
+SMOOTHING_WINDOW_S = 1.0
 
 
 class RecentArrivals:
-    """Workflows of one pool that arrived a moment ago.
+    """Workflows of one pool that arrived within the last `WINDOW_S` seconds.
 
     Attributes:
-        earlier: Number of those in the first half of the window.
-        later: Number of those in its second half.
-        need: What each of them needs over the span ahead, summed; thousandths of a core times milliseconds.
+        earlier: Number of arrivals in the first half of the window.
+        later: Number of arrivals in the second half of the window.
+        need: Work of all of them from their start until the forecast horizon, in millicore-milliseconds.
     """
 
     __slots__ = ("earlier", "later", "need")
@@ -38,22 +38,22 @@
         self.later = 0
         self.need = 0.0
 
-    def expected_need(self, *, ahead_ms: float) -> float:
-        """Returns what those that arrive until the moment ahead need at that moment, in thousandths of a core.
+    def expected_demand(self, *, ahead_ms: float) -> float:
+        """Returns the CPU demand, after `ahead_ms`, of workflows that arrive until then, in millicores.
 
-        One that arrives at a random time before the moment is then at a random age up to `ahead_ms`.
+        A workflow that arrives at a random time before then has a random age of up to `ahead_ms`.
         """
         rate_per_s = expected_rate_per_s(earlier=self.earlier, later=self.later, ahead_s=ahead_ms / 1000)
         return rate_per_s / 1000 * self.need / (self.earlier + self.later)
 
 
 class DemandForecast:
-    """Demand of each pool at one moment ahead.
+    """Forecast of the CPU demand of each pool.
 
     Attributes:
-        ahead_ms: How far ahead the moment lies.
-        scale: Factor from declared to real durations by queue.
-        demand: Thousandths of a core by pool.
+        ahead_ms: Forecast horizon in milliseconds.
+        scale: Returns the factor from declared to actual durations of a queue.
+        demand: Forecast demand in millicores by pool.
     """
 
     __slots__ = ("ahead_ms", "demand", "scale")
@@ -64,28 +64,36 @@
         self.demand: dict[str, float] = {}
 
     def update(self, *, tables: Tables, indexes: Indexes, now_ms: float) -> None:
-        """Works the demand out from all open workflows and the latest arrivals."""
+        """Computes the demand of all pools from open workflows and recent arrivals.
+
+        Args:
+            tables: Replicated data.
+            indexes: Indexes over the data.
+            now_ms: Wall-clock time in milliseconds.
+        """
         self.demand = {}
-        recent: dict[str, RecentArrivals] = {}
+        recent_by_pool: dict[str, RecentArrivals] = {}
         for workflow_id in indexes.open_workflows:
             workflow = tables.workflows[workflow_id]
             pool = tables.queue_pools.get(workflow.queue, "")
-            needed = self._need_of_open(workflow)
-            if needed:
-                self.demand[pool] = self.demand.get(pool, 0.0) + needed
+            open_millis = self._open_workflow_millis(workflow)
+            if open_millis:
+                self.demand[pool] = self.demand.get(pool, 0.0) + open_millis
             age_s = (now_ms - workflow.accepted_ms) / 1000
             if age_s <= WINDOW_S and not workflow.spec.repeat_count:
-                self._take_arrival(workflow, recent=recent.setdefault(pool, RecentArrivals()), age_s=age_s)
-        for pool, arrivals in recent.items():
-            coming = arrivals.expected_need(ahead_ms=self.ahead_ms)
-            self.demand[pool] = self.demand.get(pool, 0.0) + coming
+                self._add_arrival(
+                    workflow, recent=recent_by_pool.setdefault(pool, RecentArrivals()), age_s=age_s
+                )
+        for pool, arrivals in recent_by_pool.items():
+            arriving_millis = arrivals.expected_demand(ahead_ms=self.ahead_ms)
+            self.demand[pool] = self.demand.get(pool, 0.0) + arriving_millis
 
     def read(self, pool: str) -> float:
-        """Returns the demand of a pool in thousandths of a core."""
+        """Returns the forecast demand of a pool in millicores."""
         return self.demand.get(pool, 0.0)
 
-    def _need_of_open(self, workflow: Workflow) -> float:
-        start_ms, end_ms = self.ahead_ms - SMOOTH_S * 500, self.ahead_ms + SMOOTH_S * 500
+    def _open_workflow_millis(self, workflow: Workflow) -> float:
+        start_ms, end_ms = self.ahead_ms - SMOOTHING_WINDOW_S * 500, self.ahead_ms + SMOOTHING_WINDOW_S * 500
         scale = self.scale(workflow.queue)
         return sum(
             _work_between(
@@ -94,7 +102,7 @@
             for progress in workflow.progress.values()
         ) / (end_ms - start_ms)
 
-    def _take_arrival(self, workflow: Workflow, *, recent: RecentArrivals, age_s: float) -> None:
+    def _add_arrival(self, workflow: Workflow, *, recent: RecentArrivals, age_s: float) -> None:
         if age_s > WINDOW_S / 2:
             recent.earlier += 1
         else:
@@ -104,10 +112,10 @@
 
 
 def _work_between(spans: Iterable[StepSpan], start_ms: float, end_ms: float) -> float:
-    """Returns the processor in use between two moments, times milliseconds."""
+    """Returns the work of time spans between two times, in millicore-milliseconds."""
     return sum(
         span.cpu_millis * max(0.0, min(span.end_ms, end_ms) - max(span.start_ms, start_ms)) for span in spans
     )
 
 
-__all__ = ["SMOOTH_S", "DemandForecast"]
+__all__ = ["SMOOTHING_WINDOW_S", "DemandForecast"]
--- a/tests/dispatch/test_advice.py
+++ b/tests/dispatch/test_advice.py
@@ -1,4 +1,4 @@
-"""Queues whose steps may run only where an advisor allows it."""
+"""Queues whose steps may run only on VMs that an advisor approves of."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from dispatch.conftest import FakeLeadership, FakeVms, make_link
 from hyssopway.dispatch import AdviceError, OrderReply, Refusal
 from hyssopway.dispatch.advice_fetcher import AdviceFetcher
-from hyssopway.dispatch.advice_plan import MAX_VMS_A_QUESTION
+from hyssopway.dispatch.advice_plan import MAX_VMS_PER_REQUEST
 from hyssopway.dispatch.dispatcher import Dispatcher
-from hyssopway.dispatch.ticket_cache import MARGIN_S
+from hyssopway.dispatch.ticket_cache import EXPIRY_MARGIN_S
 from hyssopway.workflow import AdvisorPolicy, PutDocument, RunEnd, RunOutcome, Step
 from hyssopway.workflow.commands import EndRuns
 from workflow.conftest import make_document, make_vm, make_workflow
 
 POLICY = AdvisorPolicy(decision_ms=200, per_vm_ms=5, validity_ms=4000)
-GOOD = ("vm-2", "vm-3")
+APPROVED = ("vm-2", "vm-3")
 CHAIN = (
     Step(count=8, cpu_millis=1000, estimate_ms=500),
     Step(count=2, cpu_millis=1000, estimate_ms=500, after=(0,)),
@@ -26,33 +26,33 @@
 
 
 class FakeAdvisor:
-    """Approves of some VMs; may be busy, or lose answers.
+    """Approves of some VMs; may be busy or fail to answer.
 
     Attributes:
-        asked: Steps and VMs of the questions.
-        failures: Number of questions that fail from now on.
+        requests: Step and VMs of each request.
+        failures: Number of requests that fail from now on.
     """
 
     def __init__(self, leadership):
         self.leadership = leadership
-        self.asked = []
+        self.requests = []
         self.failures = 0
         self.in_progress = 0
 
     async def advise(self, *, step, vms, timeout_s):
-        self.asked.append((step, vms))
+        self.requests.append((step, vms))
         self.in_progress += 1
-        assert self.in_progress == 1, "an advisor takes one question at a time"
+        assert self.in_progress == 1, "an advisor handles one request at a time"
         await asyncio.sleep(0)
         self.in_progress -= 1
         if self.failures:
             self.failures -= 1
             raise AdviceError("answered with 429")
-        return {vm: f"ticket of {vm}" for vm in vms if vm in GOOD}
+        return {vm: f"ticket of {vm}" for vm in vms if vm in APPROVED}
 
 
 class TicketVms(FakeVms):
-    """VMs that start a run only with the ticket that belongs to them."""
+    """VMs that start a run only with a ticket for this VM."""
 
     def __init__(self, leadership):
         super().__init__(leadership)
@@ -67,7 +67,7 @@
 
 
 class AdvisedFleet:
-    """A dispatcher and a fetcher over three VMs and one advised queue."""
+    """A dispatcher and an advice fetcher with three VMs and one queue that has an advisor."""
 
     def __init__(self):
         self.leadership = FakeLeadership()
@@ -89,14 +89,14 @@
         document = make_document()
         queues = tuple(replace(queue, advisor=advisor) for queue in document.queues)
         await self.leadership.propose(PutDocument(document=replace(document, queues=queues)))
-        for name in ("vm-1", *GOOD):
+        for name in ("vm-1", *APPROVED):
             await self.leadership.propose(make_vm(name))
             link = self.links[name] = make_link(name, leadership=self.leadership, calls=self.vms)
             link.orders.tickets = self.dispatcher.tickets
             await link.look()
 
-    async def round(self):
-        """Runs one round and waits for its orders."""
+    async def run_round(self):
+        """Runs one scheduling round and waits for its start orders."""
         await self.dispatcher.run_round()
         while self.dispatcher.sending:
             await asyncio.gather(*self.dispatcher.sending)
@@ -112,41 +112,41 @@
     return built
 
 
-async def test_advised_step_waits_for_tickets_and_runs_where_it_may(advised):
-    """Guards against starts that are refused for want of a ticket, each of which is paid for."""
+async def test_advised_step_starts_only_with_tickets_on_approved_vms(advised):
+    """Guards against starts without a ticket, which the VM refuses; each refused start is charged."""
     await advised.leadership.propose(make_workflow("w", steps=CHAIN))
-    await advised.round()
+    await advised.run_round()
     assert advised.vms.tickets == []
     while await advised.fetcher.ask_next():
         pass
-    await advised.round()
+    await advised.run_round()
     assert len(advised.started()) == 8
-    assert set(advised.started().values()) <= set(GOOD)
+    assert set(advised.started().values()) <= set(APPROVED)
 
 
-async def test_answers_are_kept_until_they_run_out(advised):
-    """Guards against questions for what is known, and against tickets used too late."""
+async def test_answers_are_cached_until_they_expire(advised):
+    """Guards against requests for known answers, and against the use of expired tickets."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=30, cpu_millis=1000),)))
     while await advised.fetcher.ask_next():
         pass
-    asked = len(advised.advisor.asked)
+    request_count = len(advised.advisor.requests)
     assert not await advised.fetcher.ask_next()
-    advised.leadership.now += POLICY.validity_ms / 1000 - MARGIN_S
+    advised.leadership.now += POLICY.validity_ms / 1000 - EXPIRY_MARGIN_S
     await advised.links["vm-2"].look()
     await advised.links["vm-1"].look()
     assert await advised.fetcher.ask_next()
-    step, vms = advised.advisor.asked[asked]
+    step, vms = advised.advisor.requests[request_count]
     assert step == "w.0.0"
-    assert "vm-1" not in vms, "a VM that must not run a step does not change its mind"
+    assert "vm-1" not in vms, "a refusal holds for the whole boot"
 
 
-async def test_next_step_is_asked_about_when_the_step_before_is_nearly_done(advised):
-    """Guards against a step that waits for the advisor's time after all before it is done."""
+async def test_tickets_are_requested_when_the_step_before_is_nearly_done(advised):
+    """Guards against a ready step that still waits for the advisor after the step before it is done."""
     await advised.leadership.propose(make_workflow("w", steps=CHAIN))
     while await advised.fetcher.ask_next():
         pass
-    assert {step for step, _ in advised.advisor.asked} == {"w.0.0"}
-    await advised.round()
+    assert {step for step, _ in advised.advisor.requests} == {"w.0.0"}
+    await advised.run_round()
     ends = tuple(
         RunEnd(task=task, run=1, outcome=RunOutcome.DONE, checkpoint="")
         for task, vm in advised.started().items()
@@ -158,52 +158,52 @@
         await advised.leadership.propose(EndRuns(vm=vm, boot=1, ends=(end,), at_ms=20))
     while await advised.fetcher.ask_next():
         pass
-    assert "w.0.1" in {step for step, _ in advised.advisor.asked}
+    assert "w.0.1" in {step for step, _ in advised.advisor.requests}
 
 
-async def test_busy_or_silent_advisor_is_asked_again(advised, monkeypatch):
-    """Guards against a step that never starts because one question was lost."""
+async def test_request_to_a_busy_advisor_is_repeated(advised, monkeypatch):
+    """Guards against a step that never starts because one request failed."""
     monkeypatch.setattr("hyssopway.dispatch.advice_fetcher.RETRY_S", 0.0)
     advised.advisor.failures = 3
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
     while await advised.fetcher.ask_next():
         pass
-    await advised.round()
+    await advised.run_round()
     assert len(advised.started()) == 1
 
 
-async def test_refused_ticket_is_asked_for_again_and_does_not_count_against_the_vm(advised):
-    """Guards against a VM that gets nothing more because a ticket had run out on its way."""
+async def test_refused_ticket_is_requested_again_and_is_no_failure_of_the_vm(advised):
+    """Guards against a VM that gets no more starts because a ticket expired on its way."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
     while await advised.fetcher.ask_next():
         pass
     advised.vms.refuse = True
-    await advised.round()
+    await advised.run_round()
     advised.vms.refuse = False
     (_, vm, _) = advised.vms.tickets[0]
     assert advised.links[vm].failures == 0
     assert advised.links[vm].orders.paused_until <= advised.leadership.now
-    asked = len(advised.advisor.asked)
+    request_count = len(advised.advisor.requests)
     while await advised.fetcher.ask_next():
         pass
-    assert len(advised.advisor.asked) > asked
-    await advised.round()
+    assert len(advised.advisor.requests) > request_count
+    await advised.run_round()
     assert len(advised.started()) == 1
 
 
 async def test_tickets_of_an_earlier_boot_are_not_used(advised):
-    """Guards against a start with the ticket of a life that has ended."""
+    """Guards against a start with a ticket that was issued for a former boot of the VM."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
     while await advised.fetcher.ask_next():
         pass
-    for name in GOOD:
+    for name in APPROVED:
         await advised.leadership.propose(make_vm(name, boot=2))
-    await advised.round()
+    await advised.run_round()
     assert advised.vms.tickets == []
 
 
-async def test_question_names_no_more_vms_than_are_needed_or_allowed(advised):
-    """Guards against questions whose time grows with VMs that the step cannot use."""
+async def test_request_names_no_more_vms_than_needed_or_allowed(advised):
+    """Guards against requests that take longer because they name VMs that the step does not need."""
     for number in range(4, 300):
         name = f"vm-{number}"
         await advised.leadership.propose(make_vm(name))
@@ -211,19 +211,19 @@
         await link.look()
     await advised.leadership.propose(make_workflow("one", steps=(Step(count=1, cpu_millis=1000),)))
     assert await advised.fetcher.ask_next()
-    assert len(advised.advisor.asked[0][1]) == 2
+    assert len(advised.advisor.requests[0][1]) == 2
     await advised.leadership.propose(make_workflow("wide", steps=(Step(count=900, cpu_millis=8000),)))
     for _ in range(3):
         await advised.fetcher.ask_next()
-    assert max(len(vms) for _, vms in advised.advisor.asked) == MAX_VMS_A_QUESTION
+    assert max(len(vms) for _, vms in advised.advisor.requests) == MAX_VMS_PER_REQUEST
 
 
-async def test_queue_without_advisor_asks_nothing():
-    """Guards against work for each round that only advised queues need."""
+async def test_queue_without_advisor_sends_no_requests():
+    """Guards against advice work in each round for queues without an advisor."""
     fleet = AdvisedFleet()
     await fleet.open(advisor=None)
     await fleet.leadership.propose(make_workflow("w", steps=CHAIN))
     assert not await fleet.fetcher.ask_next()
-    await fleet.round()
-    assert fleet.advisor.asked == []
+    await fleet.run_round()
+    assert fleet.advisor.requests == []
     assert len(fleet.vms.tickets) == 8
--- a/tests/dispatch/test_wave_choice.py
+++ b/tests/dispatch/test_wave_choice.py
@@ -43,9 +43,7 @@
     assert len(select(*waiting, max_added=6, unavailable={"a": 1}, size=8)) == 1
 
 
-@pytest.mark.parametrize("max_added", [0, 1, 2])
-def test_limit_of_machines_down_is_kept(max_added):
+@pytest.mark.parametrize("room", [0, 1, 2])
+def test_limit_of_machines_down_is_kept(room):
     """Guards against more machines down than the wave allows."""
-    assert (
-        len(select(*[make_candidate(f"m{number}") for number in range(9)], max_added=max_added)) == max_added
-    )
+    assert len(select(*[make_candidate(f"m{number}") for number in range(9)], max_added=room)) == room
