--- a/src/hyssopway/dispatch/pace_control.py
+++ b/src/hyssopway/dispatch/pace_control.py
@@ -1,11 +1,11 @@
-"""Decides at which share of their work tasks that fill may run beside tasks that serve.
+"""Pace control: the share of their full speed at which best-effort tasks run beside latency-bound tasks.
 
-Answers the load pattern of serving tasks whose response times rise for two reasons that look alike: the tasks that
-fill beside them, by amounts that differ by image and change within seconds, and their own load. Tasks that fill are
-slowed first; where a stop of all of them changes nothing, the load is the serving task's own and they go on.
+The response time of a latency-bound task rises for two reasons that look alike: interference of best-effort tasks on
+the same VM, which differs by image and changes within seconds, and the load of the task itself. Best-effort tasks are
+slowed first; when the target is still missed while they are paused, the cause is the task's own load and they resume.
 
-The steps are those of congestion control, a multiplicative decrease and an additive increase (Chiu and Jain, "Analysis
-of the Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989).
+The control is additive increase and multiplicative decrease, as in congestion control (Chiu and Jain, "Analysis of the
+Increase and Decrease Algorithms for Congestion Avoidance in Computer Networks", 1989).
 """
 
 from __future__ import annotations
@@ -19,32 +19,32 @@
     from .pace_history import PaceHistory
 
 FULL_PERCENT = 100
-# Parts of the target at which tasks that fill lose or get back a part of their share.
-CUT_AT = 0.85
-GIVE_BACK_AT = 0.65
-# Far above the target a cut goes to nothing at once.
-STOP_AT = 1.5
-CUT_FACTOR = 0.5
-# Below this share a cut goes to nothing, so that the cause is known within two seconds.
-LEAST_PERCENT = 20
-GIVE_BACK_PERCENT = 10
-GIVE_BACK_S = 1.0
-# Each share that had to be cut again doubles the time until the next try.
-MAX_GIVE_BACK_S = 16.0
-# A reading covers the last half second.
-READING_S = 0.5
-# Own load is checked again after this time; the load may have fallen below what the tasks that fill add.
-OWN_LOAD_S = 2.0
+# Ratios of tail latency to its target above which the pace is decreased, and below which it is increased.
+DECREASE_RATIO = 0.85
+INCREASE_RATIO = 0.65
+# Latency ratio from which a decrease pauses best-effort tasks at once.
+PAUSE_RATIO = 1.5
+DECREASE_FACTOR = 0.5
+# A decrease below this percentage pauses best-effort tasks, so that the cause is known within two seconds.
+MIN_PERCENT = 20
+INCREASE_PERCENT = 10
+MIN_INCREASE_INTERVAL_S = 1.0
+# Each decrease doubles the interval until the next increase, up to this limit.
+MAX_INCREASE_INTERVAL_S = 16.0
+# A sample covers the last half second.
+SAMPLE_WINDOW_S = 0.5
+# Time after which own load is checked again: it may have fallen so far that the interference is now the cause.
+OWN_LOAD_RECHECK_S = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class ServingReading:
-    """How a serving task does.
+class LatencySample:
+    """Tail latency of a latency-bound task.
 
     Attributes:
-        image: What it runs.
-        target_ms: Tail of the response time that it must keep.
-        tail_ms: That tail over the last half second.
+        image: Image that the task runs.
+        target_ms: Target of the tail latency in milliseconds.
+        tail_ms: Tail latency over the last half second, in milliseconds.
     """
 
     image: str
@@ -53,23 +53,23 @@
 
 
 class PaceControl:
-    """Share of the tasks that fill on one VM.
+    """Controls the pace of the best-effort tasks on one VM, which all run at the same pace.
 
     Attributes:
-        memory: Shares that were kept on other VMs.
-        settle_s: Time from an order until a reading shows its effect alone.
-        percent: Present share.
-        changed_at: Local time of the last change.
-        give_back_s: Time for which the target must be kept before a part is given back.
-        own_load_until: Local time until which the serving tasks' own load is taken for the cause.
-        images: Serving and filling images that the share is for.
+        history: Paces that the controls of all VMs have reached.
+        settle_s: Time in seconds from an order until a sample shows only latency under the new pace.
+        percent: Present pace in percent of full speed.
+        changed_at: Local time of the last change of the pace.
+        increase_interval_s: Time in seconds since the last change after which the pace may be increased.
+        own_load_until: Local time until which the own load of latency-bound tasks counts as the cause.
+        images: Pairs of latency-bound and best-effort image that the pace is for.
     """
 
     __slots__ = (
         "changed_at",
-        "give_back_s",
         "history",
         "images",
+        "increase_interval_s",
         "own_load_until",
         "percent",
         "settle_s",
@@ -77,60 +77,64 @@
 
     def __init__(self, *, history: PaceHistory, pacing_s: float) -> None:
         self.history = history
-        self.settle_s = pacing_s + READING_S
+        self.settle_s = pacing_s + SAMPLE_WINDOW_S
         self.percent = FULL_PERCENT
         self.changed_at = float("-inf")
-        self.give_back_s = GIVE_BACK_S
+        self.increase_interval_s = MIN_INCREASE_INTERVAL_S
         self.own_load_until = float("-inf")
         self.images: frozenset[tuple[str, str]] = frozenset()
 
-    def choose(self, *, serving: list[ServingReading], filling: Iterable[str], now: float) -> int:
-        """Returns the share of all tasks that fill, in percent.
+    def choose_percent(
+        self, *, latency_bound: list[LatencySample], best_effort: Iterable[str], now: float
+    ) -> int:
+        """Updates the pace of all best-effort tasks and returns it in percent of full speed.
 
         Args:
-            serving: Readings of the serving tasks that are at work.
-            filling: Images of the tasks that fill.
-            now: Local time.
+            latency_bound: Samples of the latency-bound tasks that run.
+            best_effort: Images of the best-effort tasks.
+            now: Local time in seconds.
         """
-        images = frozenset((one.image, image) for one in serving for image in filling)
+        images = frozenset((one.image, image) for one in latency_bound for image in best_effort)
         if not images:
             self.images = images
             self.percent = FULL_PERCENT
             return self.percent
         if not images <= self.images:
-            self._change(min(self.percent, self.history.read(images)), now=now)
+            self._set_percent(min(self.percent, self.history.initial_percent(images)), now=now)
         self.images = images
-        pressure = max(one.tail_ms / one.target_ms for one in serving)
+        latency_ratio = max(one.tail_ms / one.target_ms for one in latency_bound)
         if now - self.changed_at >= self.settle_s:
-            self._follow(pressure, now=now)
+            self._adjust(latency_ratio, now=now)
         return self.percent
 
-    def _follow(self, pressure: float, *, now: float) -> None:
+    def _adjust(self, latency_ratio: float, *, now: float) -> None:
         if now < self.own_load_until:
             return
-        if pressure > 1.0 and self.percent == 0:
-            # Nothing fills any more and the target is still missed.
-            self.own_load_until = now + OWN_LOAD_S
-            self._change(FULL_PERCENT, now=now)
-        elif pressure > CUT_AT and self.percent > 0:
-            cut = int(self.percent * CUT_FACTOR)
-            is_slight = pressure < STOP_AT and cut >= LEAST_PERCENT and not self._was_own_load(now)
-            self._change(cut if is_slight else 0, now=now)
-            self.give_back_s = min(MAX_GIVE_BACK_S, 2 * self.give_back_s)
-            self.history.note(self.images, percent=self.percent)
-        elif pressure < GIVE_BACK_AT and now - self.changed_at >= self.give_back_s:
-            self.history.note(self.images, percent=self.percent)
+        if latency_ratio > 1.0 and self.percent == 0:
+            # Best-effort tasks are paused and the target is still missed.
+            self.own_load_until = now + OWN_LOAD_RECHECK_S
+            self._set_percent(FULL_PERCENT, now=now)
+        elif latency_ratio > DECREASE_RATIO and self.percent > 0:
+            decreased = int(self.percent * DECREASE_FACTOR)
+            is_gradual = (
+                latency_ratio < PAUSE_RATIO and decreased >= MIN_PERCENT and not self._was_own_load(now)
+            )
+            self._set_percent(decreased if is_gradual else 0, now=now)
+            self.increase_interval_s = min(MAX_INCREASE_INTERVAL_S, 2 * self.increase_interval_s)
+            self.history.record(self.images, percent=self.percent)
+        elif latency_ratio < INCREASE_RATIO and now - self.changed_at >= self.increase_interval_s:
+            self.history.record(self.images, percent=self.percent)
             if self.percent:
-                self.give_back_s = max(GIVE_BACK_S, self.give_back_s / 2)
-            self._change(min(FULL_PERCENT, self.percent + GIVE_BACK_PERCENT), now=now)
+                self.increase_interval_s = max(MIN_INCREASE_INTERVAL_S, self.increase_interval_s / 2)
+            self._set_percent(min(FULL_PERCENT, self.percent + INCREASE_PERCENT), now=now)
 
     def _was_own_load(self, now: float) -> bool:
-        return now - self.own_load_until < OWN_LOAD_S
+        return now - self.own_load_until < OWN_LOAD_RECHECK_S
 
-    def _change(self, percent: int, *, now: float) -> None:
+    def _set_percent(self, percent: int, *, now: float) -> None:
         if percent != self.percent:
             self.percent = percent
             self.changed_at = now
 
 
-__all__ = ["FULL_PERCENT", "PaceControl", "ServingReading"]
+__all__ = ["FULL_PERCENT", "LatencySample", "PaceControl"]
--- a/src/hyssopway/dispatch/pace_history.py
+++ b/src/hyssopway/dispatch/pace_history.py
@@ -1,4 +1,4 @@
-"""Remembers how much tasks of one image disturb those of another."""
+"""History of how much best-effort tasks of one image interfere with latency-bound tasks of another."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Share of tasks that fill beside images that they were never seen with.
-FIRST_PERCENT = 50
+# Initial pace of best-effort tasks beside an image that they have not run with before.
+DEFAULT_PERCENT = 50
 
 
 class PaceHistory:
-    """Shares at which serving tasks kept their target, by serving and filling image.
+    """Last paces of best-effort tasks, by pair of latency-bound and best-effort image.
 
     Attributes:
-        kept: Last share in percent by pair of images.
+        last_percents: Last pace in percent of full speed by pair of images.
     """
 
-    __slots__ = ("kept",)
+    __slots__ = ("last_percents",)
 
     def __init__(self) -> None:
-        self.kept: dict[tuple[str, str], int] = {}
+        self.last_percents: dict[tuple[str, str], int] = {}
 
-    def read(self, images: Iterable[tuple[str, str]]) -> int:
-        """Returns the share to begin with; that of the pair that disturbs most."""
-        return min(self.kept.get(pair, FIRST_PERCENT) for pair in images)
+    def initial_percent(self, images: Iterable[tuple[str, str]]) -> int:
+        """Returns the pace to begin with, which is that of the pair with the most interference."""
+        return min(self.last_percents.get(pair, DEFAULT_PERCENT) for pair in images)
 
-    def note(self, images: Iterable[tuple[str, str]], *, percent: int) -> None:
-        """Takes in the share that some VM has come to."""
+    def record(self, images: Iterable[tuple[str, str]], *, percent: int) -> None:
+        """Records the pace that the control of one VM has reached."""
         for pair in images:
-            self.kept[pair] = percent
+            self.last_percents[pair] = percent
 
-    def disturbs(self, pair: tuple[str, str]) -> bool:
-        """Tells whether a filling image had to be slowed beside a serving one."""
-        return self.kept.get(pair, FIRST_PERCENT) < FIRST_PERCENT
+    def interferes(self, pair: tuple[str, str]) -> bool:
+        """Returns whether a best-effort image had to be slowed beside a latency-bound one."""
+        return self.last_percents.get(pair, DEFAULT_PERCENT) < DEFAULT_PERCENT
 
 
-__all__ = ["FIRST_PERCENT", "PaceHistory"]
+__all__ = ["DEFAULT_PERCENT", "PaceHistory"]
--- a/src/hyssopway/dispatch/pool_rebalancer.py
+++ b/src/hyssopway/dispatch/pool_rebalancer.py
@@ -118,7 +118,7 @@
             return
         state = self.leadership.state
         self.forecast.update(tables=state.tables, indexes=state.indexes, now_ms=wall_ms())
-        self.step_sizes.follow(tables=state.tables, indexes=state.indexes)
+        self.step_sizes.update(tables=state.tables, indexes=state.indexes)
         moves = plan_moves(
             demands=[
                 self._compute_demand(pool, load=load) for pool, load in loads.items() if pool != standby
--- a/src/hyssopway/dispatch/step_sizes.py
+++ b/src/hyssopway/dispatch/step_sizes.py
@@ -1,4 +1,4 @@
-"""Learns how wide the steps of each pool are."""
+"""Mean CPU demand of the steps of each pool."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 if TYPE_CHECKING:
     from hyssopway.workflow import Indexes, Tables
 
-# Share that one more workflow has in the mean.
-WEIGHT = 0.05
+# Weight of a new step in the exponential moving average.
+SMOOTHING_FACTOR = 0.05
 
 
 class StepSizes:
-    """Mean processor of one step by pool.
+    """Learns the mean CPU demand of a step of each pool, without long-running and best-effort steps.
 
     Attributes:
-        means: Thousandths of a core by pool.
-        last_ms: Wall-clock time up to which workflows are counted.
+        means: Exponential moving average of the demand in millicores by pool.
+        last_ms: Wall-clock time in milliseconds up to which accepted workflows are counted.
     """
 
     __slots__ = ("last_ms", "means")
@@ -25,8 +25,8 @@
         self.means: dict[str, float] = {}
         self.last_ms = 0
 
-    def follow(self, *, tables: Tables, indexes: Indexes) -> None:
-        """Takes in workflows that were accepted since the last call."""
+    def update(self, *, tables: Tables, indexes: Indexes) -> None:
+        """Adds the steps of workflows that were accepted since the last call."""
         newest_ms = self.last_ms
         for workflow_id in reversed(indexes.open_workflows):
             workflow = tables.workflows[workflow_id]
@@ -40,12 +40,12 @@
         self.last_ms = newest_ms
 
     def read(self, pool: str) -> float:
-        """Returns the mean of a pool; 0 while nothing is known."""
+        """Returns the mean demand of a step of a pool in millicores; 0 while it has had none."""
         return self.means.get(pool, 0.0)
 
     def _add(self, pool: str, *, size: int) -> None:
-        known = self.means.get(pool)
-        self.means[pool] = size if known is None else known + WEIGHT * (size - known)
+        mean = self.means.get(pool)
+        self.means[pool] = size if mean is None else mean + SMOOTHING_FACTOR * (size - mean)
 
 
 __all__ = ["StepSizes"]
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -1,4 +1,4 @@
-"""Keeps the pace of the tasks that fill on one VM."""
+"""Pace of the best-effort tasks on one VM, and the orders that set it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from hyssopway.workflow import TaskId
 
-from .pace_control import FULL_PERCENT, PaceControl, ServingReading
+from .pace_control import FULL_PERCENT, LatencySample, PaceControl
 
 if TYPE_CHECKING:
     from hyssopway.workflow import Step
@@ -16,16 +16,17 @@
     from .run_orders import RunOrders
     from .running_row import RunningRow
 
-AT_WORK_PERCENT = 100
+# Listed percent of a long-running run that has started up and whose pace is not limited.
+UNTHROTTLED_PERCENT = 100
 
 
 class VmPace:
-    """Pace of the tasks that fill on one VM, as one leader orders it.
+    """Controls the pace of the best-effort tasks on one VM, on behalf of one leader.
 
     Attributes:
-        leadership: The term.
+        leadership: Term on whose behalf the pace is ordered.
         orders: Orders to the VM.
-        control: Decides the share.
+        control: Chooses the pace.
     """
 
     __slots__ = ("control", "leadership", "orders")
@@ -38,30 +39,37 @@
         self.control = PaceControl(history=history, pacing_s=pacing_s)
 
     def update(self, rows: dict[str, RunningRow], *, now: float) -> None:
-        """Takes in a listing of the VM's runs and orders the pace of those that fill."""
+        """Updates the pace from the runs that the VM lists, and orders it for best-effort runs that have another.
+
+        Args:
+            rows: Listed runs by run key.
+            now: Local time in seconds.
+        """
         use = self.leadership.state.indexes.vm_use.get(self.orders.vm_id)
         if use is None or not use.filling:
             return
         steps = {key: step for key, row in rows.items() if (step := self._find_step(row)) is not None}
-        filling = [key for key, step in steps.items() if step.fills]
-        serving = [
-            ServingReading(image=step.image, target_ms=step.target_ms, tail_ms=rows[key].reading)
+        best_effort = [key for key, step in steps.items() if step.fills]
+        latency_bound = [
+            LatencySample(image=step.image, target_ms=step.target_ms, tail_ms=rows[key].reading)
             for key, step in steps.items()
-            if step.target_ms and not step.fills and rows[key].percent == AT_WORK_PERCENT
+            if step.target_ms and not step.fills and rows[key].percent == UNTHROTTLED_PERCENT
         ]
-        percent = self.control.choose(serving=serving, filling=[steps[key].image for key in filling], now=now)
-        for key in filling:
+        percent = self.control.choose_percent(
+            latency_bound=latency_bound, best_effort=[steps[key].image for key in best_effort], now=now
+        )
+        for key in best_effort:
             if self._ordered_percent(key, row=rows[key]) != percent:
                 self.orders.ask_pace(task=rows[key].task, run=rows[key].run, percent=percent)
 
     def _ordered_percent(self, key: str, *, row: RunningRow) -> int | None:
-        """Returns the pace that a run has, or None when a former leader may have changed it."""
+        """Returns the pace of a run in percent, or None when a former leader may have changed it."""
         known = self.orders.paces.get(key)
         if known is not None:
             return known
         runs = self.leadership.state.tables.runs.get(row.task, ())
-        is_own = any(run.key == key and run.fencing_token == self.leadership.term for run in runs)
-        return FULL_PERCENT if is_own else None
+        is_started_in_term = any(run.key == key and run.fencing_token == self.leadership.term for run in runs)
+        return FULL_PERCENT if is_started_in_term else None
 
     def _find_step(self, row: RunningRow) -> Step | None:
         task = TaskId.parse(row.task)
--- a/tests/dispatch/test_duration_scale.py
+++ b/tests/dispatch/test_duration_scale.py
@@ -1,4 +1,4 @@
-"""How far declared durations are off."""
+"""Ratio of actual to declared run durations."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_scale_is_learned_and_bounded():
-    """Guards against a few odd runs that multiply the demand."""
+    """Guards against a few outliers that multiply the forecast demand."""
     scale = DurationScale()
     assert scale.read("plans") == 1.0
     scale.add("plans", declared_ms=100, actual_ms=100_000)
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -1,4 +1,4 @@
-"""Pace of tasks that fill beside serving tasks: disturbed ones, and ones under their own load."""
+"""Pace of best-effort tasks beside latency-bound tasks, with interference and with high load of the latter."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 
 from dispatch.conftest import make_link
 from hyssopway.dispatch import OrderReply, RunningRow
-from hyssopway.dispatch.pace_control import OWN_LOAD_S, PaceControl, ServingReading
-from hyssopway.dispatch.pace_history import FIRST_PERCENT, PaceHistory
+from hyssopway.dispatch.pace_control import OWN_LOAD_RECHECK_S, LatencySample, PaceControl
+from hyssopway.dispatch.pace_history import DEFAULT_PERCENT, PaceHistory
 from hyssopway.workflow import StartRuns, Step
 from hyssopway.workflow.commands import RunStart
 from workflow.conftest import make_workflow
 
 TARGET_MS = 100
-# The platform's bound on the time that a disturbed task may be over its target.
+# The platform's bound on the time for which interference may keep a task over its latency target.
 INTERFERENCE_S = 4.0
-LOOK_S = 0.25
+POLL_INTERVAL_S = 0.25
 PACING_S = 0.1
 
 
-class DisturbedTask:
-    """A serving task whose tail follows the pace of what fills, as a rough reading over the last half second."""
+class LatencyBoundTask:
+    """A latency-bound task whose tail latency grows with the mean pace of best-effort tasks in the last two polls."""
 
-    def __init__(self, *, alone_ms, added_ms, control):
-        self.alone_ms = alone_ms
-        self.added_ms = added_ms
+    def __init__(self, *, base_ms, interference_ms, control):
+        self.base_ms = base_ms
+        self.interference_ms = interference_ms
         self.control = control
         self.percents = [100.0, 100.0]
         self.history = []
 
-    def play(self, *, start, seconds, filling=("batch", "batch")):
-        """Plays looks one after another and notes time, tail and percent."""
+    def simulate(self, *, start, seconds, best_effort=("batch", "batch")):
+        """Simulates one poll after another and records time, tail latency and pace."""
         now = start
         while now < start + seconds:
-            tail_ms = self.alone_ms + self.added_ms * sum(self.percents) / len(self.percents) / 100
-            reading = ServingReading(image="desk", target_ms=TARGET_MS, tail_ms=round(tail_ms))
-            percent = self.control.choose(serving=[reading], filling=filling, now=now)
+            tail_ms = self.base_ms + self.interference_ms * sum(self.percents) / len(self.percents) / 100
+            sample = LatencySample(image="desk", target_ms=TARGET_MS, tail_ms=round(tail_ms))
+            percent = self.control.choose_percent(latency_bound=[sample], best_effort=best_effort, now=now)
             self.percents = [*self.percents[1:], percent]
             self.history.append((now, tail_ms, percent))
-            now += LOOK_S
+            now += POLL_INTERVAL_S
         return now
 
-    def longest_over_s(self):
+    def longest_time_over_target_s(self):
         longest = since = 0.0
         for _, tail_ms, _ in self.history:
-            since = since + LOOK_S if tail_ms > TARGET_MS else 0.0
+            since = since + POLL_INTERVAL_S if tail_ms > TARGET_MS else 0.0
             longest = max(longest, since)
         return longest
 
@@ -57,64 +57,67 @@
 
 
 @pytest.mark.parametrize("added_ms", [45, 80, 300, 3000])
-def test_task_that_two_fillers_push_over_its_target_is_kept_under_it(control, added_ms):
-    """Replays a serving task that is fine alone and misses its target beside two tasks that fill."""
-    task = DisturbedTask(alone_ms=60, added_ms=added_ms, control=control)
-    task.play(start=0.0, seconds=30)
-    assert task.longest_over_s() < INTERFERENCE_S / 2
-    assert sum(tail > TARGET_MS for _, tail, _ in task.history) * LOOK_S < 6.0
-
-
-def test_task_over_its_target_by_its_own_load_paces_nothing_for_long(control):
-    """Replays a serving task that misses its target alone: what fills is not kept from its work."""
-    task = DisturbedTask(alone_ms=180, added_ms=2, control=control)
-    task.play(start=0.0, seconds=30)
-    at_work = sum(percent for _, _, percent in task.history) / len(task.history)
-    assert at_work > 50
-    assert max(percent for _, _, percent in task.history[-int(OWN_LOAD_S / LOOK_S) - 6 :]) == 100
-
-
-def test_disturbance_after_own_load_is_still_found(control):
-    """Guards against own load that hides what fills once the load has fallen."""
-    task = DisturbedTask(alone_ms=180, added_ms=60, control=control)
-    now = task.play(start=0.0, seconds=10)
-    task.alone_ms = 70
+def test_interference_of_best_effort_tasks_is_reduced(control, added_ms):
+    """Guards against a task that meets its target alone and misses it beside two best-effort tasks."""
+    task = LatencyBoundTask(base_ms=60, interference_ms=added_ms, control=control)
+    task.simulate(start=0.0, seconds=30)
+    assert task.longest_time_over_target_s() < INTERFERENCE_S / 2
+    assert sum(tail > TARGET_MS for _, tail, _ in task.history) * POLL_INTERVAL_S < 6.0
+
+
+def test_own_load_does_not_slow_best_effort_tasks_for_long(control):
+    """Guards against best-effort tasks that are kept slow beside a task that misses its target even alone."""
+    task = LatencyBoundTask(base_ms=180, interference_ms=2, control=control)
+    task.simulate(start=0.0, seconds=30)
+    mean_percent = sum(percent for _, _, percent in task.history) / len(task.history)
+    assert mean_percent > 50
+    assert (
+        max(percent for _, _, percent in task.history[-int(OWN_LOAD_RECHECK_S / POLL_INTERVAL_S) - 6 :])
+        == 100
+    )
+
+
+def test_interference_after_own_load_is_still_detected(control):
+    """Guards against interference that is still blamed on own load after that load has fallen."""
+    task = LatencyBoundTask(base_ms=180, interference_ms=60, control=control)
+    now = task.simulate(start=0.0, seconds=10)
+    task.base_ms = 70
     task.history = []
-    task.play(start=now, seconds=15)
-    assert task.longest_over_s() < INTERFERENCE_S
+    task.simulate(start=now, seconds=15)
+    assert task.longest_time_over_target_s() < INTERFERENCE_S
 
 
-def test_share_is_given_back_slowly_once_the_disturbance_ends(control):
-    """Guards against a pace that stays, and against one that swings."""
-    task = DisturbedTask(alone_ms=60, added_ms=300, control=control)
-    now = task.play(start=0.0, seconds=5)
-    task.added_ms = 0
+def test_pace_increases_slowly_after_interference_ends(control):
+    """Guards against a pace that stays low, and against one that oscillates."""
+    task = LatencyBoundTask(base_ms=60, interference_ms=300, control=control)
+    now = task.simulate(start=0.0, seconds=5)
+    task.interference_ms = 0
     before = task.percents[-1]
-    now = task.play(start=now, seconds=2)
+    now = task.simulate(start=now, seconds=2)
     assert task.percents[-1] <= before + 30
-    task.play(start=now, seconds=25)
+    task.simulate(start=now, seconds=25)
     assert task.percents[-1] == 100
 
 
-def test_no_pace_is_kept_when_nothing_fills_or_nobody_serves(control):
-    """Guards against tasks that stay slow after their neighbour has left."""
-    reading = ServingReading(image="desk", target_ms=TARGET_MS, tail_ms=500)
-    assert control.choose(serving=[reading], filling=["batch"], now=0.0) < 100
-    assert control.choose(serving=[], filling=["batch"], now=0.1) == 100
-    assert control.choose(serving=[reading], filling=[], now=0.2) == 100
+def test_pace_is_full_without_latency_bound_or_best_effort_tasks(control):
+    """Guards against best-effort tasks that stay slow after the latency-bound task has left the VM."""
+    sample = LatencySample(image="desk", target_ms=TARGET_MS, tail_ms=500)
+    assert control.choose_percent(latency_bound=[sample], best_effort=["batch"], now=0.0) < 100
+    assert control.choose_percent(latency_bound=[], best_effort=["batch"], now=0.1) == 100
+    assert control.choose_percent(latency_bound=[sample], best_effort=[], now=0.2) == 100
 
 
-def test_what_one_vm_learned_is_where_the_next_begins():
-    """Guards against each VM that has to find out again that an image disturbs."""
+def test_control_of_another_vm_starts_with_the_recorded_pace():
+    """Guards against each VM detecting anew that an image interferes."""
     history = PaceHistory()
-    DisturbedTask(alone_ms=60, added_ms=3000, control=PaceControl(history=history, pacing_s=PACING_S)).play(
-        start=0.0, seconds=5
-    )
+    LatencyBoundTask(
+        base_ms=60, interference_ms=3000, control=PaceControl(history=history, pacing_s=PACING_S)
+    ).simulate(start=0.0, seconds=5)
     fresh = PaceControl(history=history, pacing_s=PACING_S)
-    calm = ServingReading(image="desk", target_ms=TARGET_MS, tail_ms=70)
-    assert fresh.choose(serving=[calm], filling=["batch"], now=100.0) < FIRST_PERCENT
-    assert history.disturbs(("desk", "batch"))
-    assert not history.disturbs(("desk", "other"))
+    calm = LatencySample(image="desk", target_ms=TARGET_MS, tail_ms=70)
+    assert fresh.choose_percent(latency_bound=[calm], best_effort=["batch"], now=100.0) < DEFAULT_PERCENT
+    assert history.interferes(("desk", "batch"))
+    assert not history.interferes(("desk", "other"))
 
 
 STEPS = (
@@ -124,7 +127,7 @@
 
 
 class PacedVms:
-    """A VM that lists what runs and takes changes of pace."""
+    """A VM that lists its runs and accepts changes of their pace."""
 
     def __init__(self, vms):
         self.vms = vms
@@ -141,7 +144,7 @@
 
 @pytest.fixture
 async def shared_vm(fleet, vms):
-    """A serving task and two that fill on one VM."""
+    """A latency-bound task and two best-effort tasks on one VM."""
     await fleet.propose(make_workflow("mixed", steps=STEPS))
     tasks = ["mixed.0.0.0", "mixed.0.1.0", "mixed.0.1.1"]
     starts = tuple(RunStart(task=task, run=1, vm="vm-1") for task in tasks)
@@ -162,34 +165,34 @@
 async def _settle(link):
     while link.orders.sending:
         await asyncio.gather(*link.orders.sending)
-        await asyncio.sleep(0)  # lets the done tasks be dropped
+        await asyncio.sleep(0)  # lets the callbacks of the done tasks run
 
 
-async def test_pace_is_ordered_once_and_for_tasks_that_fill_only(shared_vm):
-    """Guards against a call for pace that nobody sends, and against one with each look."""
+async def test_pace_is_ordered_once_and_only_for_best_effort_tasks(shared_vm):
+    """Guards against a pace that is never ordered, and against an order after each poll."""
     fleet, paced, link = shared_vm
     for _ in range(3):
         link.pace.update(rows(70), now=fleet.now)
         await _settle(link)
-    assert paced.paces == {"mixed.0.1.0": FIRST_PERCENT, "mixed.0.1.1": FIRST_PERCENT}
+    assert paced.paces == {"mixed.0.1.0": DEFAULT_PERCENT, "mixed.0.1.1": DEFAULT_PERCENT}
     assert len(paced.vms.timeouts) == 2
 
 
-async def test_unanswered_pace_is_repeated(shared_vm):
-    """Guards against a task that goes on to disturb because one order was lost."""
+async def test_unanswered_pace_order_is_repeated(shared_vm):
+    """Guards against a task that continues to interfere because one order was lost."""
     fleet, paced, link = shared_vm
     paced.vms.lose = 1
     link.pace.update(rows(70), now=fleet.now)
     await _settle(link)
-    assert set(paced.paces.values()) == {FIRST_PERCENT}
+    assert set(paced.paces.values()) == {DEFAULT_PERCENT}
     assert len(paced.paces) == 2
 
 
-async def test_new_leader_orders_the_pace_of_runs_that_a_former_one_may_have_slowed(shared_vm):
-    """Guards against tasks that stay slow for good after a change of leader."""
+async def test_new_leader_orders_the_pace_of_runs_that_a_former_leader_may_have_slowed(shared_vm):
+    """Guards against tasks that stay slow after a change of leader."""
     fleet, paced, link = shared_vm
     fleet.term += 1
-    without_serving = {key: row for key, row in rows(70).items() if not key.startswith("mixed.0.0")}
-    link.pace.update(without_serving, now=fleet.now)
+    only_best_effort = {key: row for key, row in rows(70).items() if not key.startswith("mixed.0.0")}
+    link.pace.update(only_best_effort, now=fleet.now)
     await _settle(link)
     assert set(paced.paces.values()) == {100}
--- a/tests/dispatch/test_step_sizes.py
+++ b/tests/dispatch/test_step_sizes.py
@@ -1,4 +1,4 @@
-"""Width of the steps of a pool."""
+"""Mean CPU demand of the steps of a pool."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from workflow.conftest import make_workflow
 
 
-async def test_mean_follows_the_steps_of_new_workflows(fleet):
-    """Guards against a reserve that holds no step of a pool with wide ones."""
+async def test_each_workflow_is_counted_once(fleet):
+    """Guards against spare capacity that is too small for the large steps of a pool."""
     sizes = StepSizes()
     tables, indexes = fleet.state.tables, fleet.state.indexes
     await fleet.propose(make_workflow("wide", steps=(Step(count=10, cpu_millis=5000),)))
-    sizes.follow(tables=tables, indexes=indexes)
+    sizes.update(tables=tables, indexes=indexes)
     first = sizes.read("vans")
     assert first > 0
     for _ in range(20):
-        sizes.follow(tables=tables, indexes=indexes)
+        sizes.update(tables=tables, indexes=indexes)
     assert sizes.read("vans") == first
     assert sizes.read("other") == 0.0
