--- a/src/hyssopway/agreement/stored_file.py
+++ b/src/hyssopway/agreement/atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that are replaced as a whole."""
+"""Checksummed files that are replaced atomically."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 _DIGEST_BYTES = 16
 
 
-def write_whole(path: Path, data: bytes) -> None:
-    """Replaces a file atomically and durably, with a checksum in front.
+def write_atomically(path: Path, data: bytes) -> None:
+    """Replaces a file atomically and durably; a checksum precedes the data.
 
     Raises:
         StorageError: The disk is full, read-only or failing.
@@ -35,8 +35,8 @@
         raise StorageError(f"cannot write {path}: {error}") from error
 
 
-def read_whole(path: Path) -> bytes | None:
-    """Reads a file written by `write_whole`; None when it does not exist.
+def read_checksummed(path: Path) -> bytes | None:
+    """Returns the data of a file written by `write_atomically`, or None if the file does not exist.
 
     Raises:
         LogDamagedError: The checksum does not match.
@@ -54,4 +54,4 @@
     return data
 
 
-__all__ = ["read_whole", "write_whole"]
+__all__ = ["read_checksummed", "write_atomically"]
--- a/src/hyssopway/control/__init__.py
+++ b/src/hyssopway/control/__init__.py
@@ -2,23 +2,23 @@
 
 from __future__ import annotations
 
-from .agreed_clock import AgreedClock
 from .change import Change
+from .cluster_clock import ClusterClock
 from .codec import (
     decode_envelope,
     decode_outcome,
     encode_command,
     encode_envelope,
     encode_outcome,
-    seal_command,
+    wrap_command,
 )
 from .envelope import Envelope
 from .outcome import Outcome
 from .state import ControlState
 
 __all__ = [
-    "AgreedClock",
     "Change",
+    "ClusterClock",
     "ControlState",
     "Envelope",
     "Outcome",
@@ -27,5 +27,5 @@
     "encode_command",
     "encode_envelope",
     "encode_outcome",
-    "seal_command",
+    "wrap_command",
 ]
--- a/src/hyssopway/daemon/fleet_status.py
+++ b/src/hyssopway/daemon/fleet_status.py
@@ -5,9 +5,9 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.record import ZoneStatus
-from hyssopway.fleet.drains import find_overdue
+from hyssopway.fleet.drains import find_overdue_drains
 
 if TYPE_CHECKING:
     from hyssopway.control import ControlState
@@ -25,7 +25,7 @@
                 "progress": Counter(vm.status.value for vm in wave.vms.values()),
             }
             for wave in tables.waves.values()
-            if is_under_way(wave)
+            if is_active(wave)
         ],
         "permits": Counter(permit.purpose.value for permit in tables.permits.values()),
         "zones_out": [
@@ -35,7 +35,7 @@
         ],
         "questions": [
             {"vm": permit.vm, "purpose": permit.purpose, "waiting_s": (now_ms - permit.at_ms) / 1000}
-            for permit in find_overdue(state, now_ms=now_ms)
+            for permit in find_overdue_drains(state, now_ms=now_ms)
         ],
     }
 
--- a/src/hyssopway/dispatch/dispatcher.py
+++ b/src/hyssopway/dispatch/dispatcher.py
@@ -88,11 +88,11 @@
         await asyncio.sleep(BATCH_DELAY_S)
 
     def _stop_unneeded_runs(self) -> None:
-        for key, vm in list(self.leadership.state.indexes.unwanted.items()):
+        for key, vm in list(self.leadership.state.indexes.runs_to_stop.items()):
             link = self.links.get(vm)
             if link is not None:
                 task, _, run = key.rpartition("/")
-                link.orders.ask_stop(
+                link.orders.request_stop(
                     task=task, run=int(run), reason="its task does not need the run any more"
                 )
 
@@ -219,7 +219,7 @@
                 continue
             if record.draining or record.zone in tables.evacuated or vm_id in self.cordoned_vms:
                 continue
-            use = self.leadership.state.indexes.vm_use.get(vm_id)
+            use = self.leadership.state.indexes.vm_usage.get(vm_id)
             free_by_pool.setdefault(record.pool, []).append(
                 _compute_free_capacity(
                     record,
@@ -251,7 +251,7 @@
         team = indexes.teams.get(ready.workflow.team)
         if team is None:
             return True
-        use = indexes.team_use.get(team.name)
+        use = indexes.team_usage.get(team.name)
         reserved = self.reserved.setdefault(team.name, [0, 0, 0])
         step = ready.step
         total = [
@@ -284,8 +284,8 @@
         cpu_millis=capacity.cpu_millis - (use.cpu_millis if use else 0),
         memory_mb=capacity.memory_mb - (use.memory_mb if use else 0),
         accelerators=capacity.accelerators - (use.accelerators if use else 0),
-        serving=use.serving if use else 0,
-        best_effort=use.filling if use else 0,
+        serving=use.latency_bound if use else 0,
+        best_effort=use.best_effort if use else 0,
         recent_failures=min(failures, MAX_COUNTED_FAILURES),
         awaits_maintenance=awaits_maintenance,
     )
--- a/src/hyssopway/dispatch/hold_reply.py
+++ b/src/hyssopway/dispatch/poll_reply.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from .listed_end import ListedEnd
-from .running_row import RunningRow
+from .listed_run import ListedRun
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class HoldReply:
+class PollReply:
     """Runs of a VM.
 
     Attributes:
@@ -22,9 +22,9 @@
 
     clock_ms: int
     boot: int
-    running: tuple[RunningRow, ...]
+    running: tuple[ListedRun, ...]
     ends: tuple[ListedEnd, ...]
-    is_whole: bool
+    is_complete: bool
 
 
-__all__ = ["HoldReply"]
+__all__ = ["PollReply"]
--- a/src/hyssopway/dispatch/pool_rebalancer.py
+++ b/src/hyssopway/dispatch/pool_rebalancer.py
@@ -7,11 +7,11 @@
 
 from hyssopway.clock import wall_ms
 from hyssopway.event import Event, log_event
-from hyssopway.workflow import NoteMachineOrders, RemoveVm
+from hyssopway.workflow import RecordMachineOrders, RemoveVm
 
 from .demand_forecast import DemandForecast
 from .machine_calls import MachineCallError, MachineOrderResult
-from .order_budget import OrderBudget
+from .order_rate_limiter import OrderRateLimiter
 from .pool_load import measure_pools
 from .pool_plan import PoolDemand, plan_moves
 from .step_sizes import StepSizes
@@ -45,7 +45,7 @@
         machines: Machines as the platform lists them.
         drainer: Cordons VMs before their machine moves.
         move_s: Duration of a move in seconds.
-        budget: Rate limit of move orders.
+        rate_limiter: Rate limit of move orders.
         forecast: Demand by pool at the time when a machine ordered now arrives.
         idle_since: Local time since which each VM has been idle, by VM ID; a machine that moves gets a new VM.
         step_sizes: Mean CPU demand of the steps of each pool.
@@ -54,7 +54,6 @@
     """
 
     __slots__ = (
-        "budget",
         "calls",
         "drainer",
         "forecast",
@@ -64,6 +63,7 @@
         "leadership",
         "machines",
         "move_s",
+        "rate_limiter",
         "step_sizes",
     )
 
@@ -83,7 +83,7 @@
         self.machines = machines
         self.drainer = drainer
         self.move_s = move_s
-        self.budget = OrderBudget(accepted_per_s=orders_per_s, now=leadership.clock())
+        self.rate_limiter = OrderRateLimiter(accepted_per_s=orders_per_s, now=leadership.clock())
         self.forecast = DemandForecast(ahead_s=move_s + JOIN_DELAY_S, scale=scale.read)
         self.idle_since: dict[str, float] = {}
         self.incoming: dict[str, tuple[str, float]] = {}
@@ -128,11 +128,11 @@
             vm_millis=sorted(vm_sizes)[len(vm_sizes) // 2],
         )
         moves = [move for move in moves if (move.source, move.target) not in self.impossible_moves]
-        moves = moves[: self.budget.take(len(moves), now=now)]
+        moves = moves[: self.rate_limiter.acquire(len(moves), now=now)]
         if not moves:
             return
         machine_ids = tuple(move.machine_id for move in moves)
-        await self.leadership.propose(NoteMachineOrders(machines=machine_ids, at_ms=wall_ms()))
+        await self.leadership.propose(RecordMachineOrders(machines=machine_ids, at_ms=wall_ms()))
         await asyncio.gather(*(self._move(move) for move in moves))
 
     def _compute_demand(self, pool: str, *, load: PoolLoad) -> PoolDemand:
--- a/src/hyssopway/dispatch/run_orders.py
+++ b/src/hyssopway/dispatch/run_orders.py
@@ -8,9 +8,9 @@
 from hyssopway.event import Event, log_event
 from hyssopway.workflow import RunOutcome, TaskId
 
-from .flight import Flight
 from .order_reply import Refusal
-from .run_ends import end_run
+from .order_state import OrderState
+from .run_ends import make_run_end
 from .worker_calls import WorkerUnreachableError
 
 if TYPE_CHECKING:
@@ -18,10 +18,10 @@
 
     from hyssopway.workflow import ActiveRun, RunEnd, VmRecord
 
-    from .answer_times import AnswerTimes
     from .leadership import Leadership
     from .lease import VmLease
     from .order_reply import OrderReply
+    from .rtt_estimator import RttEstimator
     from .ticket_cache import TicketCache
     from .worker_calls import WorkerCalls
 
@@ -38,9 +38,9 @@
         calls: Client of worker VMs.
         lease: Bound on the lease of the VM's runs.
         tickets: Tickets of steps whose queue has an advisor.
-        times: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
+        rtt_estimator: Times that answers to orders take. A VM that has the run already takes a repeated start for the same
             one, and refuses one that arrives after the end of the run, so orders may be repeated.
-        flights: Orders by run key.
+        order_states: Orders by run key.
         sending: Stops and changes of pace on their way.
         paces: Pace in percent that the VM confirmed, by run key.
         pacing: Keys of runs whose change of pace is on its way.
@@ -49,15 +49,15 @@
 
     __slots__ = (
         "calls",
-        "flights",
         "leadership",
         "lease",
+        "order_states",
         "paces",
         "pacing",
         "paused_until",
+        "rtt_estimator",
         "sending",
         "tickets",
-        "times",
         "vm_id",
     )
 
@@ -68,16 +68,16 @@
         leadership: Leadership,
         calls: WorkerCalls,
         lease: VmLease,
-        times: AnswerTimes,
+        rtt_estimator: RttEstimator,
         tickets: TicketCache,
     ) -> None:
         self.vm_id = vm_id
         self.leadership = leadership
         self.calls = calls
         self.lease = lease
-        self.times = times
+        self.rtt_estimator = rtt_estimator
         self.tickets = tickets
-        self.flights: dict[str, Flight] = {}
+        self.order_states: dict[str, OrderState] = {}
         self.sending: set[asyncio.Task[None]] = set()
         self.paces: dict[str, int] = {}
         self.pacing: set[str] = set()
@@ -90,27 +90,27 @@
 
     def expect_start(self, *, task: str, run: int) -> None:
         """Notes that a start is about to be agreed and ordered."""
-        self.flights[f"{task}/{run}"] = Flight(is_sending=True)
+        self.order_states[f"{task}/{run}"] = OrderState(is_sending=True)
 
     def drop_start(self, *, task: str, run: int) -> None:
         """Forgets a start that was not agreed."""
-        self.flights.pop(f"{task}/{run}", None)
+        self.order_states.pop(f"{task}/{run}", None)
 
     async def start(
         self, run: ActiveRun, *, specification: str, checkpoint: str, needs_ticket: bool = False
     ) -> RunEnd | None:
         """Orders an agreed start; returns the end of a run that certainly does not start."""
         step_name = TaskId.parse(run.task).step_name
-        flight = self.flights.setdefault(run.key, Flight(is_sending=True))
+        order_state = self.order_states.setdefault(run.key, OrderState(is_sending=True))
         # Repeated orders carry the same lease: a VM that is gone must not be waited for any longer.
         until_ms = self.lease.renew(now=self.leadership.clock())
         is_sent = False
         try:
-            for timeout_s in self.times.choose_timeouts():
+            for timeout_s in self.rtt_estimator.choose_timeouts():
                 record = self.record
                 if record is None or record.boot != run.boot or until_ms is None:
                     break
-                if not self.leadership.may_order() or flight.is_known:
+                if not self.leadership.may_order() or order_state.is_start_settled:
                     break
                 ticket = self.tickets.read(step_name, vm=self.vm_id, boot=run.boot) if needs_ticket else ""
                 if needs_ticket and not ticket:
@@ -132,17 +132,17 @@
                     self._log_unanswered("start", key=run.key, error=error)
                     is_sent = True
                     continue
-                self.times.note_answer(took_s=self.leadership.clock() - sent_at)
-                return self._take_start_reply(run, flight=flight, reply=reply, is_repeated=is_sent)
+                self.rtt_estimator.record_rtt(rtt_s=self.leadership.clock() - sent_at)
+                return self._take_start_reply(run, order_state=order_state, reply=reply, is_repeated=is_sent)
         finally:
-            flight.is_sending = False
-        return None if is_sent else end_run(run, RunOutcome.NOT_STARTED)
+            order_state.is_sending = False
+        return None if is_sent else make_run_end(run, RunOutcome.NOT_STARTED)
 
     def _take_start_reply(
-        self, run: ActiveRun, *, flight: Flight, reply: OrderReply, is_repeated: bool
+        self, run: ActiveRun, *, order_state: OrderState, reply: OrderReply, is_repeated: bool
     ) -> RunEnd | None:
         if reply.refusal is None:
-            flight.accepted_at = min(flight.accepted_at, self.leadership.clock())
+            order_state.accepted_at = min(order_state.accepted_at, self.leadership.clock())
             return None
         log_event(Event.ORDER_REFUSED, order="start", run=run.key, vm=self.vm_id, reason=reply.refusal)
         if reply.refusal is Refusal.NO_TICKET:
@@ -153,24 +153,24 @@
         # An earlier copy of a repeated order may still be carried out.
         if is_repeated or reply.refusal is Refusal.OTHER_BOOT:
             return None
-        return end_run(run, RunOutcome.NOT_STARTED)
+        return make_run_end(run, RunOutcome.NOT_STARTED)
 
-    def is_stop_asked(self, key: str) -> bool:
+    def is_stop_requested(self, key: str) -> bool:
         """Tells whether a stop of a run was sent."""
-        flight = self.flights.get(key)
-        return flight is not None and flight.stop_asked_at > float("-inf")
+        order_state = self.order_states.get(key)
+        return order_state is not None and order_state.stop_requested_at > float("-inf")
 
-    def ask_stop(self, *, task: str, run: int, reason: str) -> None:
+    def request_stop(self, *, task: str, run: int, reason: str) -> None:
         """Sends a stop unless one was sent a moment ago."""
-        flight = self.flights.setdefault(f"{task}/{run}", Flight())
+        order_state = self.order_states.setdefault(f"{task}/{run}", OrderState())
         now = self.leadership.clock()
-        if now - flight.stop_asked_at < STOP_AGAIN_S or not self.leadership.may_order():
+        if now - order_state.stop_requested_at < STOP_AGAIN_S or not self.leadership.may_order():
             return
-        flight.stop_asked_at = now
+        order_state.stop_requested_at = now
         log_event(Event.STOP_ORDERED, run=f"{task}/{run}", vm=self.vm_id, reason=reason)
-        self._send(self._stop(task=task, run=run, flight=flight))
+        self._send(self._stop(task=task, run=run, order_state=order_state))
 
-    def ask_pace(self, *, task: str, run: int, percent: int) -> None:
+    def request_pace(self, *, task: str, run: int, percent: int) -> None:
         """Sends a change of pace unless one is on its way."""
         key = f"{task}/{run}"
         if key in self.pacing or not self.leadership.may_order():
@@ -181,20 +181,20 @@
 
     def forget_boot(self) -> None:
         """Forgets the runs of a boot that has ended."""
-        self.flights.clear()
+        self.order_states.clear()
         self.paces.clear()
 
-    def forget_run(self, key: str) -> Flight | None:
+    def forget_run(self, key: str) -> OrderState | None:
         """Forgets a run that has ended and returns what was known of its start."""
         self.paces.pop(key, None)
-        return self.flights.pop(key, None)
+        return self.order_states.pop(key, None)
 
-    def note_listed(self, keys: Iterable[str], *, now: float) -> None:
+    def record_listed(self, keys: Iterable[str], *, now: float) -> None:
         """Takes in the runs that the VM listed."""
         for key in keys:
-            flight = self.flights.setdefault(key, Flight())
-            flight.accepted_at = min(flight.accepted_at, now)
-            flight.unlisted_since = float("inf")
+            order_state = self.order_states.setdefault(key, OrderState())
+            order_state.accepted_at = min(order_state.accepted_at, now)
+            order_state.unlisted_since = float("inf")
 
     def _send(self, order: Coroutine[None, None, None]) -> None:
         sending = asyncio.create_task(order)
@@ -204,7 +204,7 @@
     async def _pace(self, *, task: str, run: int, percent: int) -> None:
         key = f"{task}/{run}"
         try:
-            for timeout_s in self.times.choose_timeouts():
+            for timeout_s in self.rtt_estimator.choose_timeouts():
                 record = self.record
                 if record is None or not self.leadership.may_order():
                     return
@@ -226,8 +226,8 @@
         finally:
             self.pacing.discard(key)
 
-    async def _stop(self, *, task: str, run: int, flight: Flight) -> None:
-        for timeout_s in self.times.choose_timeouts():
+    async def _stop(self, *, task: str, run: int, order_state: OrderState) -> None:
+        for timeout_s in self.rtt_estimator.choose_timeouts():
             record = self.record
             if record is None or not self.leadership.may_order():
                 return
@@ -239,7 +239,7 @@
                 self._log_unanswered("stop", key=f"{task}/{run}", error=error)
                 continue
             if reply.refusal is None:
-                flight.stopped_at = min(flight.stopped_at, self.leadership.clock())
+                order_state.stopped_at = min(order_state.stopped_at, self.leadership.clock())
             return
 
     def _log_unanswered(self, order: str, *, key: str, error: WorkerUnreachableError) -> None:
--- a/src/hyssopway/dispatch/vm_drainer.py
+++ b/src/hyssopway/dispatch/vm_drainer.py
@@ -89,17 +89,17 @@
             self._request_stop(task, run=int(run), link=link)
 
     def _request_stop(self, task: TaskId, *, run: int, link: VmLink) -> None:
-        link.orders.ask_stop(task=task.name, run=run, reason="its VM is being drained")
+        link.orders.request_stop(task=task.name, run=run, reason="its VM is being drained")
 
     def _is_at_work(self, key: str) -> bool:
         task = key.rpartition("/")[0]
         for run in self.leadership.state.tables.runs.get(task, ()):
             link = self.links.get(run.vm)
-            if link is None or run.key != key or link.orders.is_stop_asked(key):
+            if link is None or run.key != key or link.orders.is_stop_requested(key):
                 continue  # the last list of the VM's runs may be older than the stop
             if not link.in_contact(self.leadership.clock()):
                 continue
-            row = link.rows.get(key)
+            row = link.listed_runs.get(key)
             if row is not None:
                 return row.percent == UNTHROTTLED_PERCENT
         return False
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -12,9 +12,9 @@
     from hyssopway.workflow import Step
 
     from .leadership import Leadership
+    from .listed_run import ListedRun
     from .pace_history import PaceHistory
     from .run_orders import RunOrders
-    from .running_row import RunningRow
 
 # Listed percent of a long-running run that has started up and whose pace is not limited.
 UNTHROTTLED_PERCENT = 100
@@ -38,15 +38,15 @@
         self.orders = orders
         self.control = PaceControl(history=history, pacing_s=pacing_s)
 
-    def update(self, rows: dict[str, RunningRow], *, now: float) -> None:
+    def update(self, rows: dict[str, ListedRun], *, now: float) -> None:
         """Updates the pace from the runs that the VM lists, and orders it for best-effort runs that have another.
 
         Args:
             rows: Listed runs by run key.
             now: Local time in seconds.
         """
-        use = self.leadership.state.indexes.vm_use.get(self.orders.vm_id)
-        if use is None or not use.filling:
+        use = self.leadership.state.indexes.vm_usage.get(self.orders.vm_id)
+        if use is None or not use.best_effort:
             return
         steps = {key: step for key, row in rows.items() if (step := self._find_step(row)) is not None}
         best_effort = [key for key, step in steps.items() if step.fills]
@@ -60,9 +60,9 @@
         )
         for key in best_effort:
             if self._ordered_percent(key, row=rows[key]) != percent:
-                self.orders.ask_pace(task=rows[key].task, run=rows[key].run, percent=percent)
+                self.orders.request_pace(task=rows[key].task, run=rows[key].run, percent=percent)
 
-    def _ordered_percent(self, key: str, *, row: RunningRow) -> int | None:
+    def _ordered_percent(self, key: str, *, row: ListedRun) -> int | None:
         """Returns the pace of a run in percent, or None when a former leader may have changed it."""
         known = self.orders.paces.get(key)
         if known is not None:
@@ -71,7 +71,7 @@
         is_started_in_term = any(run.key == key and run.fencing_token == self.leadership.term for run in runs)
         return FULL_PERCENT if is_started_in_term else None
 
-    def _find_step(self, row: RunningRow) -> Step | None:
+    def _find_step(self, row: ListedRun) -> Step | None:
         task = TaskId.parse(row.task)
         workflow = self.leadership.state.tables.workflows.get(task.workflow)
         return workflow.spec.steps[task.step] if workflow is not None else None
--- a/src/hyssopway/dispatch/wave_executor.py
+++ b/src/hyssopway/dispatch/wave_executor.py
@@ -134,7 +134,7 @@
 
     def _cordon_more(self, wave: WaveRecord) -> None:
         tables = self.leadership.state.tables
-        use = self.leadership.state.indexes.vm_use
+        use = self.leadership.state.indexes.vm_usage
         waiting = self.drainer.dispatcher.waiting_millis
         pending = [
             machine
--- a/tests/dispatch/test_holder_machine.py
+++ b/tests/dispatch/test_holder_machine.py
@@ -50,7 +50,7 @@
         steps = (Step(count=2), Step(count=1, after=(0,)))
         self.run(self.leader.propose(make_workflow("w", steps=steps)))
         self.lead()
-        self.look(VMS, "deliver")
+        self.poll(VMS, "deliver")
         self.run_round("deliver", "vm-1")
 
     def run(self, work):
@@ -89,11 +89,11 @@
         self.network.fate = "deliver"
 
     @rule(names=SOME_VMS, fate=FATES)
-    def look(self, names, fate):
+    def poll(self, names, fate):
         """Looks at VMs; the stops that follow meet the same fate."""
         self.network.fate = fate
         for name in names:
-            self.run(self.links[name].look())
+            self.run(self.links[name].poll())
         self.settle_tasks()
         self.network.fate = "deliver"
 
@@ -101,7 +101,7 @@
     def stop_unwanted(self, fate):
         """Stops what serves nothing any more."""
         self.network.fate = fate
-        self.run(self.stop_runs(self.leader.state.indexes.unwanted))
+        self.run(self.stop_runs(self.leader.state.indexes.runs_to_stop))
         self.network.fate = "deliver"
 
     @rule(name=st.sampled_from(VMS), fate=FATES)
@@ -114,7 +114,7 @@
     async def stop_runs(self, runs):
         for key, vm in sorted(runs.items()):
             task, _, run = key.rpartition("/")
-            self.links[vm].orders.ask_stop(task=task, run=int(run), reason="test")
+            self.links[vm].orders.request_stop(task=task, run=int(run), reason="test")
         for _ in range(4):
             await asyncio.sleep(0)
 
--- a/tests/dispatch/test_machine_inventory.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -8,7 +8,7 @@
 from hyssopway.clock import wall_ms
 from hyssopway.dispatch import Machine, MachineState
 from hyssopway.dispatch.machine_inventory import MachineInventory
-from hyssopway.workflow import NoteMachineOrders
+from hyssopway.workflow import RecordMachineOrders
 
 
 class FakePlatform:
@@ -26,10 +26,13 @@
 
 @pytest.fixture
 async def machines(leadership):
-    await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
-    await leadership.propose(NoteMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
+    await leadership.propose(RecordMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
+    await leadership.propose(RecordMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineInventory(
-        leadership=leadership, calls=FakePlatform(), machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=leadership,
+        calls=FakePlatform(),
+        machine_lease_s=LIMITS.machine_lease_s,
+        min_down_s=LIMITS.move_s,
     )
     await built.refresh(max_age_s=1.0)
     return built
@@ -41,7 +44,7 @@
     The machine is up, so its last order is at least the duration of a move ago.
     """
     assert [machines.is_available(name) for name in ("m1", "m2")] == [False, True]
-    leadership.now += LIMITS.turn_s - LIMITS.move_s - 0.1
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s - 0.1
     assert not machines.is_available("m1")
     leadership.now += 0.2
     assert machines.is_available("m1")
@@ -49,14 +52,14 @@
 
 async def test_machine_that_is_not_up_waits_for_the_whole_machine_lease(leadership):
     """Guards against a lease that is counted too early: the last order may have come just before the term started."""
-    await leadership.propose(NoteMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
+    await leadership.propose(RecordMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
     calls = FakePlatform()
     calls.states["m1"] = MachineState.MOVING
     built = MachineInventory(
-        leadership=leadership, calls=calls, machine_lease_s=LIMITS.turn_s, min_down_s=LIMITS.move_s
+        leadership=leadership, calls=calls, machine_lease_s=LIMITS.machine_lease_s, min_down_s=LIMITS.move_s
     )
     await built.refresh(max_age_s=0.0)
-    leadership.now += LIMITS.turn_s - 0.1
+    leadership.now += LIMITS.machine_lease_s - 0.1
     assert not built.may_order("m1")
     leadership.now += 0.2
     assert built.may_order("m1")
@@ -70,13 +73,13 @@
     machines.calls.states["m1"] = MachineState.MOVING
     leadership.now += 1.1
     await machines.refresh(max_age_s=1.0)
-    leadership.now += LIMITS.turn_s - LIMITS.move_s
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s
     assert not machines.may_order("m1")
 
 
 async def test_machine_lease_does_not_restart_with_each_list(machines, leadership):
     """Guards against a machine that the leader may never order because each list extends its lease."""
-    leadership.now += LIMITS.turn_s - LIMITS.move_s + 0.1
+    leadership.now += LIMITS.machine_lease_s - LIMITS.move_s + 0.1
     await machines.refresh(max_age_s=0.0)
     assert machines.is_available("m1")
 
--- a/tests/dispatch/test_vm_drainer.py
+++ b/tests/dispatch/test_vm_drainer.py
@@ -23,7 +23,7 @@
     await fleet.propose(StartRuns(fencing_token=fleet.term, starts=starts))
     vms.running = {(start.task, 1): start.vm for start in starts}
     for link in links.values():
-        await link.look()
+        await link.poll()
     dispatcher = Dispatcher(leadership=fleet, links=links)
     return VmDrainer(leadership=fleet, links=links, dispatcher=dispatcher)
 
@@ -36,7 +36,7 @@
         drainer.evict_runs()
         await asyncio.sleep(0)
         for link in drainer.links.values():
-            await link.look()  # the VMs still list both tasks as running
+            await link.poll()  # the VMs still list both tasks as running
     assert {task for order, task, _ in vms.orders if order == "stop"} == {"steady.0.0.0"}
 
 
--- a/tests/job/conftest.py
+++ b/tests/job/conftest.py
@@ -8,8 +8,8 @@
 
 from hyssopway.control.command import EndRun
 from hyssopway.control.record import RunOutcome
-from hyssopway.job import JobScheduler, UsageBook
-from states import ManualClock, prepare
+from hyssopway.job import JobScheduler, UsageReports
+from states import ManualClock, make_submitter
 
 if TYPE_CHECKING:
     from hyssopway.control.record import Job
@@ -19,15 +19,15 @@
     """A scheduler whose commands apply at once."""
 
     def __init__(self) -> None:
-        self.submitter = prepare()
+        self.submitter = make_submitter()
         self.clock = ManualClock()
-        self.book = UsageBook()
+        self.usage_reports = UsageReports()
         self.scheduler = JobScheduler(
             now_ms=self.submitter.now_ms,
             replica=self.submitter.replica,
             submitter=self.submitter,  # type: ignore[arg-type]
             leads=lambda: True,
-            book=self.book,
+            usage_reports=self.usage_reports,
             clock=self.clock,
         )
 
@@ -39,7 +39,7 @@
 
     def end(self, job_id: str, outcome: RunOutcome = RunOutcome.DONE) -> None:
         """Ends the run of a job."""
-        self.submitter.must(EndRun(job_id=job_id, epoch=self.jobs[job_id].runs, outcome=outcome))
+        self.submitter.apply_or_fail(EndRun(job_id=job_id, epoch=self.jobs[job_id].runs, outcome=outcome))
 
     @property
     def jobs(self) -> dict[str, Job]:
