--- a/src/hyssopway/dispatch/vm_drainer.py
+++ b/src/hyssopway/dispatch/vm_drainer.py
@@ -99,9 +99,9 @@
                 continue  # the last list of the VM's runs may be older than the stop
             if not link.in_contact(self.leadership.clock()):
                 continue
-            row = link.listed_runs.get(key)
-            if row is not None:
-                return row.percent == UNTHROTTLED_PERCENT
+            listed_run = link.listed_runs.get(key)
+            if listed_run is not None:
+                return listed_run.percent == UNTHROTTLED_PERCENT
         return False
 
 
--- a/src/hyssopway/dispatch/vm_pace.py
+++ b/src/hyssopway/dispatch/vm_pace.py
@@ -38,41 +38,47 @@
         self.orders = orders
         self.control = PaceControl(history=history, pacing_s=pacing_s)
 
-    def update(self, rows: dict[str, ListedRun], *, now: float) -> None:
+    def update(self, listed_runs: dict[str, ListedRun], *, now: float) -> None:
         """Updates the pace from the runs that the VM lists, and orders it for best-effort runs that have another.
 
         Args:
-            rows: Listed runs by run key.
+            listed_runs: Listed runs by run key.
             now: Local time in seconds.
         """
         use = self.leadership.state.indexes.vm_usage.get(self.orders.vm_id)
         if use is None or not use.best_effort:
             return
-        steps = {key: step for key, row in rows.items() if (step := self._find_step(row)) is not None}
+        steps = {
+            key: step
+            for key, listed_run in listed_runs.items()
+            if (step := self._find_step(listed_run)) is not None
+        }
         best_effort = [key for key, step in steps.items() if step.fills]
         latency_bound = [
-            LatencySample(image=step.image, target_ms=step.target_ms, tail_ms=rows[key].reading)
+            LatencySample(image=step.image, target_ms=step.target_ms, tail_ms=listed_runs[key].reading)
             for key, step in steps.items()
-            if step.target_ms and not step.fills and rows[key].percent == UNTHROTTLED_PERCENT
+            if step.target_ms and not step.fills and listed_runs[key].percent == UNTHROTTLED_PERCENT
         ]
         percent = self.control.choose_percent(
             latency_bound=latency_bound, best_effort=[steps[key].image for key in best_effort], now=now
         )
         for key in best_effort:
-            if self._ordered_percent(key, row=rows[key]) != percent:
-                self.orders.request_pace(task=rows[key].task, run=rows[key].run, percent=percent)
+            if self._ordered_percent(key, listed_run=listed_runs[key]) != percent:
+                self.orders.request_pace(
+                    task=listed_runs[key].task, run=listed_runs[key].run, percent=percent
+                )
 
-    def _ordered_percent(self, key: str, *, row: ListedRun) -> int | None:
+    def _ordered_percent(self, key: str, *, listed_run: ListedRun) -> int | None:
         """Returns the pace of a run in percent, or None when a former leader may have changed it."""
         known = self.orders.paces.get(key)
         if known is not None:
             return known
-        runs = self.leadership.state.tables.runs.get(row.task, ())
+        runs = self.leadership.state.tables.runs.get(listed_run.task, ())
         is_started_in_term = any(run.key == key and run.fencing_token == self.leadership.term for run in runs)
         return FULL_PERCENT if is_started_in_term else None
 
-    def _find_step(self, row: ListedRun) -> Step | None:
-        task = TaskId.parse(row.task)
+    def _find_step(self, listed_run: ListedRun) -> Step | None:
+        task = TaskId.parse(listed_run.task)
         workflow = self.leadership.state.tables.workflows.get(task.workflow)
         return workflow.spec.steps[task.step] if workflow is not None else None
 
--- a/tests/dispatch/test_pace_control.py
+++ b/tests/dispatch/test_pace_control.py
@@ -9,7 +9,7 @@
 from dispatch.conftest import make_link
 from hyssopway.dispatch import ListedRun, OrderReply
 from hyssopway.dispatch.pace_control import OWN_LOAD_RECHECK_S, LatencySample, PaceControl
-from hyssopway.dispatch.pace_history import DEFAULT_PERCENT, PaceHistory
+from hyssopway.dispatch.pace_history import FIRST_PERCENT, PaceHistory
 from hyssopway.workflow import StartRuns, Step
 from hyssopway.workflow.commands import RunStart
 from workflow.conftest import make_workflow
@@ -115,7 +115,7 @@
     ).simulate(start=0.0, seconds=5)
     fresh = PaceControl(history=history, pacing_s=PACING_S)
     calm = LatencySample(image="desk", target_ms=TARGET_MS, tail_ms=70)
-    assert fresh.choose_percent(latency_bound=[calm], best_effort=["batch"], now=100.0) < DEFAULT_PERCENT
+    assert fresh.choose_percent(latency_bound=[calm], best_effort=["batch"], now=100.0) < FIRST_PERCENT
     assert history.interferes(("desk", "batch"))
     assert not history.interferes(("desk", "other"))
 
@@ -174,7 +174,7 @@
     for _ in range(3):
         link.pace.update(rows(70), now=fleet.now)
         await _settle(link)
-    assert paced.paces == {"mixed.0.1.0": DEFAULT_PERCENT, "mixed.0.1.1": DEFAULT_PERCENT}
+    assert paced.paces == {"mixed.0.1.0": FIRST_PERCENT, "mixed.0.1.1": FIRST_PERCENT}
     assert len(paced.vms.timeouts) == 2
 
 
@@ -184,7 +184,7 @@
     paced.vms.lose = 1
     link.pace.update(rows(70), now=fleet.now)
     await _settle(link)
-    assert set(paced.paces.values()) == {DEFAULT_PERCENT}
+    assert set(paced.paces.values()) == {FIRST_PERCENT}
     assert len(paced.paces) == 2
 
 
