--- a/src/hyssopway/dispatch/advice_fetcher.py
+++ b/src/hyssopway/dispatch/advice_fetcher.py
@@ -83,10 +83,10 @@
     async def run(self) -> None:
         """Sends requests until the task is cancelled."""
         while True:
-            if not await self.ask_next():
+            if not await self.request_next():
                 await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def ask_next(self) -> bool:
+    async def request_next(self) -> bool:
         """Sends the next request; returns False when there was none to send."""
         steps = self.list_steps()
         if not steps:
--- a/src/hyssopway/dispatch/wave_choice.py
+++ b/src/hyssopway/dispatch/wave_choice.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-# Share of a pool that may be cordoned or down at once; it does not apply to idle machines.
+# Share of a pool that may be cordoned or down at once; it applies neither to idle machines nor to a late wave.
 MAX_POOL_SHARE = 0.34
 # Time that one machine needs from its selection until it is back.
 MACHINE_CYCLE_S = 5.0
--- a/tests/dispatch/test_advice.py
+++ b/tests/dispatch/test_advice.py
@@ -117,7 +117,7 @@
     await advised.leadership.propose(make_workflow("w", steps=CHAIN))
     await advised.run_round()
     assert advised.vms.tickets == []
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     await advised.run_round()
     assert len(advised.started()) == 8
@@ -127,14 +127,14 @@
 async def test_answers_are_cached_until_they_expire(advised):
     """Guards against requests for known answers, and against the use of expired tickets."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=30, cpu_millis=1000),)))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     request_count = len(advised.advisor.requests)
-    assert not await advised.fetcher.ask_next()
+    assert not await advised.fetcher.request_next()
     advised.leadership.now += POLICY.validity_ms / 1000 - EXPIRY_MARGIN_S
     await advised.links["vm-2"].poll()
     await advised.links["vm-1"].poll()
-    assert await advised.fetcher.ask_next()
+    assert await advised.fetcher.request_next()
     step, vms = advised.advisor.requests[request_count]
     assert step == "w.0.0"
     assert "vm-1" not in vms, "a refusal holds for the whole boot"
@@ -143,7 +143,7 @@
 async def test_tickets_are_requested_when_the_step_before_is_nearly_done(advised):
     """Guards against a ready step that still waits for the advisor after the step before it is done."""
     await advised.leadership.propose(make_workflow("w", steps=CHAIN))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     assert {step for step, _ in advised.advisor.requests} == {"w.0.0"}
     await advised.run_round()
@@ -156,7 +156,7 @@
     for end in ends[:6]:
         vm = advised.started()[end.task]
         await advised.leadership.propose(EndRuns(vm=vm, boot=1, ends=(end,), at_ms=20))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     assert "w.0.1" in {step for step, _ in advised.advisor.requests}
 
@@ -166,7 +166,7 @@
     monkeypatch.setattr("hyssopway.dispatch.advice_fetcher.RETRY_S", 0.0)
     advised.advisor.failures = 3
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     await advised.run_round()
     assert len(advised.started()) == 1
@@ -175,7 +175,7 @@
 async def test_refused_ticket_is_requested_again_and_is_no_failure_of_the_vm(advised):
     """Guards against a VM that gets no more starts because a ticket expired on its way."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     advised.vms.refuse = True
     await advised.run_round()
@@ -184,7 +184,7 @@
     assert advised.links[vm].failures == 0
     assert advised.links[vm].orders.paused_until <= advised.leadership.now
     request_count = len(advised.advisor.requests)
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     assert len(advised.advisor.requests) > request_count
     await advised.run_round()
@@ -194,7 +194,7 @@
 async def test_tickets_of_an_earlier_boot_are_not_used(advised):
     """Guards against a start with a ticket that was issued for a former boot of the VM."""
     await advised.leadership.propose(make_workflow("w", steps=(Step(count=1, cpu_millis=1000),)))
-    while await advised.fetcher.ask_next():
+    while await advised.fetcher.request_next():
         pass
     for name in APPROVED:
         await advised.leadership.propose(make_vm(name, boot=2))
@@ -210,11 +210,11 @@
         link = advised.links[name] = make_link(name, leadership=advised.leadership, calls=advised.vms)
         await link.poll()
     await advised.leadership.propose(make_workflow("one", steps=(Step(count=1, cpu_millis=1000),)))
-    assert await advised.fetcher.ask_next()
+    assert await advised.fetcher.request_next()
     assert len(advised.advisor.requests[0][1]) == 2
     await advised.leadership.propose(make_workflow("wide", steps=(Step(count=900, cpu_millis=8000),)))
     for _ in range(3):
-        await advised.fetcher.ask_next()
+        await advised.fetcher.request_next()
     assert max(len(vms) for _, vms in advised.advisor.requests) == MAX_VMS_PER_REQUEST
 
 
@@ -223,7 +223,7 @@
     fleet = AdvisedFleet()
     await fleet.open(advisor=None)
     await fleet.leadership.propose(make_workflow("w", steps=CHAIN))
-    assert not await fleet.fetcher.ask_next()
+    assert not await fleet.fetcher.request_next()
     await fleet.run_round()
     assert fleet.advisor.requests == []
     assert len(fleet.vms.tickets) == 8
