--- a/src/hyssopway/job/__init__.py
+++ b/src/hyssopway/job/__init__.py
@@ -1,4 +1,4 @@
-"""Scheduling of jobs by the leader."""
+"""Job scheduling on the leader: placement, fair shares, reclaiming and quarantine."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/job/estimates.py
+++ b/src/hyssopway/job/estimates.py
@@ -1,4 +1,4 @@
-"""Estimates of what a kind of task really uses."""
+"""Estimates of the actual resource usage of each kind of task."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 if TYPE_CHECKING:
     from hyssopway.control.record import JobSpec
 
-# The last ten runs or so decide; one odd run moves the estimate by a fifth.
-WEIGHT = 0.2
+# Weighs about the last ten runs; a single outlier moves the estimate by a fifth of its deviation.
+SMOOTHING_FACTOR = 0.2
 MIN_SAMPLES = 3
 
-# Submitters choose the names of kinds; they may not fill the leader.
+# Submitters choose the names of task kinds, so their number is bounded to protect the leader's memory.
 MAX_KINDS = 10_000
 
-# A wrong report may not make a task look free: four tasks share the room of one at most.
-LEAST_PART = 0.25
+# A wrong usage report must not make a task look free: at most four tasks share the declared size of one.
+MIN_DECLARED_FRACTION = 0.25
 
 
 @dataclass(slots=True, kw_only=True)
 class KindEstimate:
-    """Running means of one team's kind of task.
+    """Moving averages over the completed runs of one task kind of a team.
 
     Attributes:
         cores: Cores used.
-        memory_gb: Memory used.
-        run_s: Run time of runs that were done.
-        samples: Runs seen.
+        memory_gb: Memory used in GB.
+        run_s: Run time in seconds.
+        samples: Number of runs observed.
     """
 
     cores: float
@@ -40,16 +40,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class Estimates:
-    """Soft state of the leader.
+    """Usage estimates; kept in memory and rebuilt by a new leader.
 
     Attributes:
-        kinds: Estimates by team and kind of task.
+        kinds: Estimates by team and task kind.
     """
 
     kinds: dict[tuple[str, str], KindEstimate] = field(default_factory=dict)
 
     def observe(self, *, team: str, task_kind: str, usage: Resources, ran_s: float) -> None:
-        """Learns from the last report of a run that was done."""
+        """Adds the last usage report of a completed run."""
         kind = self.kinds.get((team, task_kind))
         if kind is None:
             self.kinds[team, task_kind] = KindEstimate(
@@ -58,34 +58,36 @@
             if len(self.kinds) > MAX_KINDS:
                 del self.kinds[next(iter(self.kinds))]
             return
-        kind.cores += WEIGHT * (usage.cores - kind.cores)
-        kind.memory_gb += WEIGHT * (usage.memory_gb - kind.memory_gb)
-        kind.run_s += WEIGHT * (ran_s - kind.run_s)
+        kind.cores += SMOOTHING_FACTOR * (usage.cores - kind.cores)
+        kind.memory_gb += SMOOTHING_FACTOR * (usage.memory_gb - kind.memory_gb)
+        kind.run_s += SMOOTHING_FACTOR * (ran_s - kind.run_s)
         kind.samples += 1
 
     def need(self, spec: JobSpec, *, team: str, margin: float, largest: Resources) -> Resources:
-        """Returns the capacity to keep for a job; never more than the largest VM has.
+        """Returns the capacity to reserve for a job; at most the larger of its declared size and the largest VM.
+
+        Returns the declared resources until the task kind has `MIN_SAMPLES` runs.
 
         Args:
-            spec: What the submitter declared.
+            spec: Specification by the submitter.
             team: Team of the job.
-            margin: Part added to the estimate.
-            largest: Largest VM of the pool.
+            margin: Fraction added to the estimate.
+            largest: Capacity of the largest VM of the pool.
         """
         kind = self.kinds.get((team, spec.task_kind))
         if kind is None or kind.samples < MIN_SAMPLES:
             return spec.resources
         return Resources(
-            cores=_correct(spec.resources.cores, kind.cores * (1 + margin), most=largest.cores),
-            memory_gb=_correct(
-                spec.resources.memory_gb, kind.memory_gb * (1 + margin), most=largest.memory_gb
+            cores=_clamp_estimate(spec.resources.cores, kind.cores * (1 + margin), upper_bound=largest.cores),
+            memory_gb=_clamp_estimate(
+                spec.resources.memory_gb, kind.memory_gb * (1 + margin), upper_bound=largest.memory_gb
             ),
             accelerators=spec.resources.accelerators,
         )
 
 
-def _correct(declared: float, estimate: float, *, most: float) -> float:
-    return max(declared * LEAST_PART, min(estimate, max(most, declared)))
+def _clamp_estimate(declared: float, estimate: float, *, upper_bound: float) -> float:
+    return max(declared * MIN_DECLARED_FRACTION, min(estimate, max(upper_bound, declared)))
 
 
 __all__ = ["MAX_KINDS", "Estimates", "KindEstimate"]
--- a/src/hyssopway/job/home_monitor.py
+++ b/src/hyssopway/job/home_monitor.py
@@ -1,4 +1,4 @@
-"""Ends the runs of homes that are out of contact."""
+"""Detects homes that are out of contact, marks their VMs as down and ends their runs."""
 
 from __future__ import annotations
 
@@ -18,43 +18,49 @@
     from hyssopway.control.record import Vm
     from hyssopway.replica import Replica, Submitter
 
-CHECK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 SUBMIT_TIMEOUT_S = 2.0
 
-# Covers clock rates, delays of answers on their way and the pause between two contacts.
+# Covers clock drift, delayed replies and the interval between two contacts.
 MARGIN_S = 5.0
 
-# A worker whose home died has found another entry by then. Its VM counts against the budgets from then on,
-# so that a loss of many VMs stops planned stops at once; its runs go on until every lease has surely ended.
-DOWN_S = WORKER_LEASE_S + 2.0
+# A worker whose home died has found another entry by then. From then on its VM counts against the budgets, so
+# that a loss of many VMs halts planned stops at once; its runs are kept until every lease has expired.
+MARK_DOWN_AFTER_S = WORKER_LEASE_S + 2.0
 
-# A home confirms about every 0.5 s and reports its load every second; two missed calls are no accident.
-SILENT_S = 1.5
+# A home asks for confirmation about every 0.5 s and reports its load every second; two missed calls are not
+# a coincidence.
+SILENT_AFTER_S = 1.5
 
-# A leader that was frozen this long has not read the calls that arrived meanwhile.
+# A leader that was suspended this long has not read the calls that arrived meanwhile.
 MAX_PAUSE_S = 2.0
 
-WATCHED = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
+MONITORED_STATES = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
 
 
 class HomeMonitor:
-    """Watches the contacts of homes while this daemon leads.
+    """Monitors the contacts of homes while this daemon leads.
 
     Attributes:
+        own_name: Name of this daemon.
+        replica: Replicated state.
+        submitter: Submits commands to the replicated state.
         contacts: Local time of the last contact by daemon.
-        counts_from: Local time since which contacts are counted; None while another daemon leads.
+        leads: Returns whether this daemon leads.
+        clock: Monotonic seconds.
+        observed_since: Local time since which silence is measured; None while another daemon leads.
         checked_at: Local time of the last check.
-        homes: Homes of all VMs at the last check, without this daemon.
-        replaced_at: Local time at which a replaced cut-off time was first seen, by log index.
+        homes: Homes of all VMs at the last check, except this daemon.
+        replaced_at: Local time at which a replaced value of `cut_off_run_s` was first seen, by log index.
     """
 
     __slots__ = (
         "checked_at",
         "clock",
         "contacts",
-        "counts_from",
         "homes",
         "leads",
+        "observed_since",
         "own_name",
         "replaced_at",
         "replica",
@@ -77,54 +83,54 @@
         self.contacts = contacts
         self.leads = leads
         self.clock = clock
-        self.counts_from: float | None = None
+        self.observed_since: float | None = None
         self.checked_at = clock()
         self.homes: set[str] = set()
         self.replaced_at: dict[int, float] = {}
 
     async def run(self) -> None:
-        """Checks for as long as the daemon runs."""
+        """Checks periodically for as long as the daemon runs."""
         while True:
             await self.check()
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def check(self) -> None:
-        """Ends the runs of every home that can no longer renew a lease."""
+        """Marks VMs of silent homes as down and ends the runs of homes that can no longer renew a lease."""
         now = self.clock()
         paused = now - self.checked_at > MAX_PAUSE_S
         self.checked_at = now
         if not self.leads():
-            self.counts_from = None
+            self.observed_since = None
             self.replaced_at.clear()
             return
-        if self.counts_from is None or paused:
-            self.counts_from = now
+        if self.observed_since is None or paused:
+            self.observed_since = now
             self.replaced_at.clear()
-        allowed_s = self._longest_cut_off_s(now) + WORKER_LEASE_S + MARGIN_S
+        timeout_s = self._longest_cut_off_s(now) + WORKER_LEASE_S + MARGIN_S
         self.homes = {vm.home for vm in self.replica.state.tables.vms.values()} - {self.own_name}
         for home in sorted(self.homes):
-            silent_s = now - max(self.contacts.get(home, self.counts_from), self.counts_from)
-            if silent_s > DOWN_S:
-                await self._take_down(home, silent_s=silent_s)
-            if silent_s > allowed_s:
+            silent_s = now - max(self.contacts.get(home, self.observed_since), self.observed_since)
+            if silent_s > MARK_DOWN_AFTER_S:
+                await self._mark_down(home, silent_s=silent_s)
+            if silent_s > timeout_s:
                 await self._end_runs(home, silent_s=silent_s)
         self.checked_at = self.clock()
 
     def silent_s(self, home: str) -> float:
-        """Returns how long a home has been out of contact with this leader."""
-        if self.counts_from is None:
+        """Returns for how many seconds a home has been out of contact with this leader."""
+        if self.observed_since is None:
             return 0.0
-        return self.clock() - max(self.contacts.get(home, self.counts_from), self.counts_from)
+        return self.clock() - max(self.contacts.get(home, self.observed_since), self.observed_since)
 
     def find_silent_homes(self) -> frozenset[str]:
-        """Returns the homes that get no new work because they are out of contact."""
-        return frozenset(home for home in self.homes if self.silent_s(home) > SILENT_S)
+        """Returns the homes that are out of contact and therefore get no new work."""
+        return frozenset(home for home in self.homes if self.silent_s(home) > SILENT_AFTER_S)
 
     def _longest_cut_off_s(self, now: float) -> float:
-        """Returns the longest value that a home out of contact may still go by.
+        """Returns the longest `cut_off_run_s` that a home out of contact may still apply.
 
-        A home that was cut off before a document lowered the value does not know the new one. Times count
-        from when this leader first saw that the value was replaced, so no wall clock is needed.
+        A home that was cut off before a document lowered the value does not know the new one. A replaced
+        value expires relative to when this leader first saw the replacement, so no wall clock is needed.
         """
         state = self.replica.state
         document = state.document()
@@ -139,19 +145,23 @@
         return max([policy.cut_off_run_s, *replaced])
 
     async def _end_runs(self, home: str, *, silent_s: float) -> None:
-        ends = [command for vm in self._vms(home) for command in self._ends(vm, silent_s=silent_s)]
+        ends = [command for vm in self._vms(home) for command in self._build_run_ends(vm, silent_s=silent_s)]
         if ends:
             log_event(Event.HOME_LOST, home=home, silent_s=silent_s)
         await asyncio.gather(*(self.submitter.submit(item, timeout_s=SUBMIT_TIMEOUT_S) for item in ends))
 
-    async def _take_down(self, home: str, *, silent_s: float) -> None:
-        commands = [_to_down(vm, silent_s=silent_s) for vm in self._vms(home) if vm.state in WATCHED]
+    async def _mark_down(self, home: str, *, silent_s: float) -> None:
+        commands = [
+            _build_down_command(vm, silent_s=silent_s)
+            for vm in self._vms(home)
+            if vm.state in MONITORED_STATES
+        ]
         await asyncio.gather(*(self.submitter.submit(item, timeout_s=SUBMIT_TIMEOUT_S) for item in commands))
 
     def _vms(self, home: str) -> list[Vm]:
         return [vm for vm in self.replica.state.tables.vms.values() if vm.home == home]
 
-    def _ends(self, vm: Vm, *, silent_s: float) -> list[EndRun]:
+    def _build_run_ends(self, vm: Vm, *, silent_s: float) -> list[EndRun]:
         state = self.replica.state
         jobs = [state.tables.jobs[job_id] for job_id in sorted(state.indexes.running.get(vm.name, ()))]
         return [
@@ -168,7 +178,7 @@
         ]
 
 
-def _to_down(vm: Vm, *, silent_s: float) -> ChangeVm:
+def _build_down_command(vm: Vm, *, silent_s: float) -> ChangeVm:
     return ChangeVm(
         vm=vm.name,
         state=VmState.DOWN,
--- a/src/hyssopway/job/limit_excess.py
+++ b/src/hyssopway/job/limit_excess.py
@@ -1,4 +1,4 @@
-"""Brings a team back to an upper limit that operators lowered."""
+"""Reclaims runs of teams that exceed an upper limit after operators lowered it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     from .planner import Planner
 
 
-ENDING = (ReclaimAction.CHECKPOINT, ReclaimAction.STOP)
+ENDING_ACTIONS = (ReclaimAction.CHECKPOINT, ReclaimAction.STOP)
 
 
 def reclaim_excess(planner: Planner) -> list[ReclaimRun]:
-    """Returns reclaims of the youngest runs of teams above their limit.
+    """Returns commands that reclaim the youngest runs of teams above their limit.
 
-    Runs that are already ending count as gone, so each run is reclaimed once.
+    Runs that are already ending count as ended, so each run is reclaimed once.
     """
     document = planner.state.document()
     commands: list[ReclaimRun] = []
@@ -33,12 +33,12 @@
         tasks, resources = usage.tasks, usage.resources
         jobs = list(_youngest_first(planner, team=team.name))
         for job in jobs:
-            if job.cancelling or (job.run and job.run.reclaim in ENDING):
+            if job.cancelling or (job.run and job.run.reclaim in ENDING_ACTIONS):
                 tasks, resources = tasks - 1, resources - job.spec.resources
         for job in jobs:
             if _is_within(team, tasks=tasks, resources=resources):
                 break
-            if job.run is None or job.cancelling or job.run.reclaim in ENDING:
+            if job.run is None or job.cancelling or job.run.reclaim in ENDING_ACTIONS:
                 continue
             tasks, resources = tasks - 1, resources - job.spec.resources
             commands.append(_to_command(job, epoch=job.run.epoch, team=team))
--- a/src/hyssopway/job/pending_queues.py
+++ b/src/hyssopway/job/pending_queues.py
@@ -1,4 +1,4 @@
-"""Pending jobs grouped by urgency, team and shape."""
+"""Pending jobs in queues of interchangeable jobs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GroupKey(NamedTuple):
-    """What the jobs of a group have in common; when one does not fit, none does."""
+    """Properties that the jobs of a group share; when one of them fits on no VM, none does."""
 
     urgent: bool
     team: str
@@ -23,13 +23,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class PendingQueues:
-    """Heaps in order of acceptance; removed jobs stay in them until they come up.
+    """Heaps in order of acceptance; entries of removed jobs are dropped when they reach the top.
 
     Attributes:
-        groups: Accepted index and job id by group.
-        delayed: Jobs that wait for their next try, by state time.
-        members: Group of each waiting job; None while delayed.
-        counts: Waiting jobs by group.
+        groups: Heap of accepted index and job ID by group.
+        delayed: Heap of jobs in backoff, ordered by the cluster time of their next attempt.
+        members: Group of each pending job; None while it is in backoff.
+        counts: Number of queued jobs by group.
     """
 
     groups: dict[GroupKey, list[tuple[int, str]]] = field(default_factory=dict)
@@ -38,7 +38,7 @@
     counts: dict[GroupKey, int] = field(default_factory=dict)
 
     def add(self, job: Job, *, now_ms: int) -> None:
-        """Queues a pending job."""
+        """Queues a pending job, or delays it until its backoff ends."""
         if job.job_id in self.members:
             return
         if job.not_before_ms > now_ms:
@@ -51,7 +51,7 @@
         heappush(self.groups.setdefault(key, []), (job.accepted_index, job.job_id))
 
     def remove(self, job_id: str) -> None:
-        """Forgets a job that is no longer pending."""
+        """Removes a job that is no longer pending."""
         key = self.members.pop(job_id, None)
         if key is None:
             return
@@ -60,8 +60,8 @@
             del self.counts[key]
             del self.groups[key]
 
-    def due(self, *, now_ms: int) -> list[str]:
-        """Returns delayed jobs whose time has come; the caller adds them again."""
+    def pop_due(self, *, now_ms: int) -> list[str]:
+        """Removes and returns the delayed jobs whose backoff has ended; the caller adds them again."""
         found = []
         while self.delayed and self.delayed[0][0] <= now_ms:
             job_id = heappop(self.delayed)[2]
@@ -79,8 +79,8 @@
             heappop(heap)
         return None
 
-    def heads(self, *, urgent: bool) -> dict[str, list[tuple[int, GroupKey]]]:
-        """Returns a heap of the groups of each team, the group with the oldest job first."""
+    def group_heaps_by_team(self, *, urgent: bool) -> dict[str, list[tuple[int, GroupKey]]]:
+        """Returns for each team a heap of its groups, ordered by their oldest job."""
         teams: dict[str, list[tuple[int, GroupKey]]] = {}
         for key in self.groups:
             if key.urgent == urgent and (head := self.head(key)) is not None:
--- a/src/hyssopway/job/pending_reason.py
+++ b/src/hyssopway/job/pending_reason.py
@@ -14,7 +14,7 @@
 
 
 def explain_pending(state: ControlState, *, job: Job) -> str:
-    """Returns the rule that holds a job back with its figures; empty when it is not pending."""
+    """Returns the rule that keeps a job pending, with its figures; empty when the job is not pending."""
     if job.status is not JobStatus.PENDING:
         return ""
     document = state.document()
@@ -29,26 +29,26 @@
         )
     if job.not_before_ms > state.tables.now_ms:
         left_s = (job.not_before_ms - state.tables.now_ms) / 1000
-        return f"backoff: the next try is in {left_s:.1f} s after {job.failures} failures"
-    return _explain_room(state, job=job)
+        return f"backoff: the next attempt is in {left_s:.1f} s after {job.failures} failures"
+    return _explain_capacity(state, job=job)
 
 
-def _explain_room(state: ControlState, *, job: Job) -> str:
+def _explain_capacity(state: ControlState, *, job: Job) -> str:
     vms = [vm for vm in state.tables.vms.values() if vm.pool == job.spec.pool]
-    open_vms = [
+    available_vms = [
         vm
         for vm in vms
         if vm.state is VmState.READY and state.tables.zones[vm.zone].status is not ZoneStatus.WITHDRAWN
     ]
     fitting = 0
-    for vm in open_vms:
+    for vm in available_vms:
         used = Resources()
         for job_id in state.indexes.running.get(vm.name, ()):
             used = used + state.tables.jobs[job_id].spec.resources
         fitting += (used + job.spec.resources).fits_in(vm.capacity)
     return (
-        f"room: by declared sizes the job fits on {fitting} of {len(open_vms)} VMs that take work in pool "
-        f"{job.spec.pool}; ruled out: {len(vms) - len(open_vms)} VMs that are not ready or in a withdrawn zone"
+        f"capacity: by declared sizes the job fits on {fitting} of {len(available_vms)} VMs that accept work in pool "
+        f"{job.spec.pool}; excluded: {len(vms) - len(available_vms)} VMs that are not ready or in a withdrawn zone"
     )
 
 
--- a/src/hyssopway/job/planner.py
+++ b/src/hyssopway/job/planner.py
@@ -1,4 +1,4 @@
-"""Decides which pending jobs start where."""
+"""Selects the pending jobs to start and the VMs to start them on."""
 
 from __future__ import annotations
 
@@ -25,35 +25,36 @@
     from .pending_queues import GroupKey
     from .usage_reports import UsageReports
 
-# One round may not hold up the next urgent job for long; at 0.05 s a round this is far above the
-# 500 starts a second that the agreed state is designed for.
+# Bounds the length of a round, so that an urgent job does not wait long for the next one. At 0.05 s a round
+# this allows far more than the 500 starts a second that the replicated state is designed for.
 MAX_STARTS = 250
-MAX_REJECTED = 100
+MAX_REJECTIONS = 100
 
-# A zone that returns is filled in steps, so that a second failure there hits little work.
-RETURN_STEP = 0.25
-RETURN_STEP_S = 2.0
+# A returning zone is filled in steps, so that a second failure there affects little work.
+RAMP_UP_STEP = 0.25
+RAMP_UP_STEP_S = 2.0
 
 
 class Planner:
-    """Follows the agreed state and chooses starts.
+    """Tracks the replicated state and selects the runs to start.
 
     Attributes:
-        state: Agreed state.
-        view: Free capacity.
+        state: Replicated state.
+        usage_reports: Last usage reports of workers.
+        clock: Monotonic seconds.
+        view: Placed runs and free capacity.
         queues: Pending jobs.
-        estimates: What kinds of tasks really use.
-        usage_reports: Last reports of workers.
-        usage: What each team holds, with the starts of this round.
-        total: Capacity of all VMs that take work.
+        estimates: Estimated usage by task kind.
+        usage: Resources that each team holds, including the starts of this round.
+        total: Capacity of all VMs that accept work.
         ends: Runs that ended since the last round.
-        avoid: Returns VMs that a job should not run on again.
+        vms_to_avoid: Returns the VMs that a job should not run on again.
         find_silent_homes: Returns the homes that are out of contact.
-        blocked: Groups that fitted nowhere in this round, the first first.
+        blocked: Groups that fitted on no VM in this round, in the order in which they were tried.
+        returning_since: Local time at which a zone was first seen returning, by zone.
     """
 
     __slots__ = (
-        "avoid",
         "blocked",
         "clock",
         "ends",
@@ -66,6 +67,7 @@
         "usage",
         "usage_reports",
         "view",
+        "vms_to_avoid",
     )
 
     def __init__(self, *, state: ControlState, usage_reports: UsageReports, clock: Clock) -> None:
@@ -79,12 +81,12 @@
         self.total = Resources()
         self.blocked: list[GroupKey] = []
         self.ends: list[RunEnd] = []
-        self.avoid: Callable[[Job], list[str]] = lambda _: []
+        self.vms_to_avoid: Callable[[Job], list[str]] = lambda _: []
         self.find_silent_homes: Callable[[], frozenset[str]] = frozenset
         self.returning_since: dict[str, float] = {}
 
     def refresh(self, *, state: ControlState, now_ms: int) -> None:
-        """Takes over what changed; a restored snapshot is another state."""
+        """Applies the changes since the last round; rebuilds everything after a snapshot was restored."""
         changes = state.indexes.feed.drain()
         if changes.everything or state is not self.state:
             self._rebuild(state, now_ms=now_ms)
@@ -100,19 +102,19 @@
             changes.vms.update(dict.fromkeys(changed))
         for name in changes.vms:
             self.view.refresh_vm(name)
-        for job_id in (*changes.jobs, *self.queues.due(now_ms=now_ms)):
-            self.follow_job(job_id, now_ms=now_ms)
-        self._follow_zones()
-        self.view.let_in(now=self.clock())
-        self.view.skip_silent(self.find_silent_homes())
+        for job_id in (*changes.jobs, *self.queues.pop_due(now_ms=now_ms)):
+            self.update_job(job_id, now_ms=now_ms)
+        self._update_zone_ramp_up()
+        self.view.end_exclusions(now=self.clock())
+        self.view.set_silent_homes(self.find_silent_homes())
         self.total = self.view.total()
         self.usage = {
             team: TeamUsage(tasks=usage.tasks, resources=usage.resources)
             for team, usage in state.indexes.usage.items()
         }
 
-    def follow_job(self, job_id: str, *, now_ms: int) -> None:
-        """Follows the record of a job."""
+    def update_job(self, job_id: str, *, now_ms: int) -> None:
+        """Updates queues and reserved capacity from the record of a job."""
         job = self.state.tables.jobs.get(job_id)
         if job is not None and job.status is JobStatus.PENDING:
             self.view.release(job_id)
@@ -127,48 +129,48 @@
             self.view.place(job, vm=job.run.vm, need=self.need(job), epoch=job.run.epoch)
 
     def plan(self) -> list[StartRun]:
-        """Returns starts, urgent work first and then the team furthest below its share."""
+        """Returns the runs to start: urgent jobs first, then jobs of the team furthest below its share."""
         self.blocked = []
         starts: list[StartRun] = []
         for urgent in (True, False):
-            heads = self.queues.heads(urgent=urgent)
-            order = [(self.weighted_share(team), team) for team in heads]
+            heaps = self.queues.group_heaps_by_team(urgent=urgent)
+            order = [(self.weighted_share(team), team) for team in heaps]
             heapify(order)
             while order and len(starts) < MAX_STARTS:
                 team = heappop(order)[1]
-                start = self._next(heads[team])
+                start = self._start_next_of_team(heaps[team])
                 if start is not None:
                     starts.append(start)
                     heappush(order, (self.weighted_share(team), team))
         return starts
 
     def reject(self) -> list[RejectJob]:
-        """Returns jobs of blocked groups that can never run."""
+        """Returns rejections of the jobs of blocked groups that can never run."""
         rejected: list[RejectJob] = []
         for key in self.blocked:
-            reason = self._find_impossible(key)
-            if reason and len(rejected) < MAX_REJECTED:
-                left = MAX_REJECTED - len(rejected)
+            reason = self._explain_unschedulable(key)
+            if reason and len(rejected) < MAX_REJECTIONS:
+                left = MAX_REJECTIONS - len(rejected)
                 rejected += [
                     RejectJob(job_id=item[1], reason=reason) for item in self.queues.groups[key][:left]
                 ]
         return rejected
 
     def need(self, job: Job) -> Resources:
-        """Returns the capacity to keep for a job."""
+        """Returns the capacity to reserve for a job."""
         document = self.state.document()
         policy = document.jobs if document else JobPolicy()
         largest = self.state.indexes.shapes.largest(pool=job.spec.pool)
         return self.estimates.need(job.spec, team=job.team, margin=policy.estimate_margin, largest=largest)
 
-    def share(self, team: str) -> float:
+    def dominant_share(self, team: str) -> float:
         """Returns the dominant share that a team holds."""
         usage = self.usage.get(team)
         return usage.resources.dominant_share(self.total) if usage else 0.0
 
     def weighted_share(self, team: str) -> float:
-        """Returns the dominant share of a team over its weight."""
-        return self.share(team) / self.weight(team)
+        """Returns the dominant share of a team divided by its weight."""
+        return self.dominant_share(team) / self.weight(team)
 
     def weight(self, team: str) -> float:
         """Returns the weight of a team."""
@@ -184,24 +186,24 @@
             self.view.refresh_vm(name)
         for ids in state.indexes.running.values():
             for job_id in sorted(ids):
-                self.follow_job(job_id, now_ms=now_ms)
+                self.update_job(job_id, now_ms=now_ms)
         for job in state.indexes.pending.values():
             self.queues.add(job, now_ms=now_ms)
 
-    def _follow_zones(self) -> None:
+    def _update_zone_ramp_up(self) -> None:
         now = self.clock()
         for zone in self.state.tables.zones.values():
             if zone.status is not ZoneStatus.RETURNING:
                 self.returning_since.pop(zone.name, None)
                 continue
             since = self.returning_since.setdefault(zone.name, now)
-            steps = 1 + int((now - since) / RETURN_STEP_S)
-            self.view.parts[zone.name] = min(1.0, RETURN_STEP * steps)
+            steps = 1 + int((now - since) / RAMP_UP_STEP_S)
+            self.view.parts[zone.name] = min(1.0, RAMP_UP_STEP * steps)
         for name in set(self.view.parts) - set(self.returning_since):
             del self.view.parts[name]
 
-    def _next(self, heap: list[tuple[int, GroupKey]]) -> StartRun | None:
-        """Starts the oldest job of a team that can start."""
+    def _start_next_of_team(self, heap: list[tuple[int, GroupKey]]) -> StartRun | None:
+        """Starts the oldest job of a team that fits; removes groups that are empty or do not fit."""
         while heap:
             index, key = heap[0]
             head = self.queues.head(key)
@@ -211,42 +213,42 @@
                 heapreplace(heap, (head[0], key))
             else:
                 job = self.state.tables.jobs[head[1]]
-                start = self._start(job, key=key)
+                start = self._try_start(job, key=key)
                 if start is not None:
                     return start
                 heappop(heap)
         return None
 
-    def _start(self, job: Job, *, key: GroupKey) -> StartRun | None:
+    def _try_start(self, job: Job, *, key: GroupKey) -> StartRun | None:
         document = self.state.document()
-        known = document is not None and document.team(name=job.team) is not None
-        if known and not self.within_limit(job):
+        has_team = document is not None and document.team(name=job.team) is not None
+        if has_team and not self.fits_team_limit(job):
             return None
         need = self.need(job)
-        avoided = self.avoid(job)
-        vm = self.view.find(pool=key.pool, need=need, avoid=avoided) if known else None
+        avoided = self.vms_to_avoid(job)
+        vm = self.view.find(pool=key.pool, need=need, avoid=avoided) if has_team else None
         if vm is None:
             self.blocked.append(key)
             return None
         reason = self._explain(job, vm=vm, need=need)
         if avoided:
-            reason += f"; ruled out if others fit, because it failed there: {', '.join(avoided)}"
-        return self._take(job, vm=vm, need=need, reason=reason)
+            reason += f"; avoided if other VMs fit, because the job failed there: {', '.join(avoided)}"
+        return self._place(job, vm=vm, need=need, reason=reason)
 
     def start_probe(self, job: Job, *, vm: Vm) -> StartRun:
-        """Returns a run that tests a quarantined VM."""
+        """Returns a probe run that tests a quarantined VM."""
         reason = f"probe of quarantined VM {vm.name}: {vm.reason}"
-        return self._take(job, vm=vm, need=job.spec.resources, reason=reason, probe=True)
+        return self._place(job, vm=vm, need=job.spec.resources, reason=reason, probe=True)
 
-    def within_limit(self, job: Job) -> bool:
-        """Tells whether the upper limit of the team leaves room for a job."""
+    def fits_team_limit(self, job: Job) -> bool:
+        """Returns whether a job fits within the upper limit of its team."""
         document = self.state.document()
         team = document.team(name=job.team) if document else None
         usage = self.usage.get(job.team, TeamUsage())
         after = usage.resources + job.spec.resources
         return team is not None and usage.tasks < team.max_running and after.fits_in(team.limit)
 
-    def _take(self, job: Job, *, vm: Vm, need: Resources, reason: str, probe: bool = False) -> StartRun:
+    def _place(self, job: Job, *, vm: Vm, need: Resources, reason: str, probe: bool = False) -> StartRun:
         self.usage.setdefault(job.team, TeamUsage()).add(job.spec.resources)
         self.queues.remove(job.job_id)
         self.view.place(job, vm=vm.name, need=need, epoch=job.runs + 1)
@@ -255,18 +257,18 @@
         )
 
     def _explain(self, job: Job, *, vm: Vm, need: Resources) -> str:
-        rule = "urgent first" if job.spec.urgent else "lowest dominant share for its weight"
-        free = self.view.free_on(vm.name)
+        rule = "urgent first" if job.spec.urgent else "lowest weighted dominant share"
+        free = self.view.free_capacity(vm.name)
         zones = self.view.zones[job.spec.pool]
-        parts = ", ".join(f"{name} {zone.free_part:.0%}" for name, zone in sorted(zones.items()))
-        kept = "declared" if need == job.spec.resources else f"estimated from {job.spec.resources.cores:g}"
+        free_by_zone = ", ".join(f"{name} {zone.free_fraction:.0%}" for name, zone in sorted(zones.items()))
+        basis = "declared" if need == job.spec.resources else f"estimated from {job.spec.resources.cores:g}"
         return (
-            f"{rule}: team {job.team} holds {self.share(job.team):.1%} at weight {self.weight(job.team):g}; "
-            f"{need.cores:g} cores ({kept}) of {free.cores:g} free; "
-            f"emptiest zone that fits of {parts} free"
+            f"{rule}: team {job.team} holds {self.dominant_share(job.team):.1%} at weight {self.weight(job.team):g}; "
+            f"{need.cores:g} cores ({basis}) of {free.cores:g} free; "
+            f"emptiest zone that fits; free by zone: {free_by_zone}"
         )
 
-    def _find_impossible(self, key: GroupKey) -> str:
+    def _explain_unschedulable(self, key: GroupKey) -> str:
         document = self.state.document()
         if document is None:
             return ""
--- a/src/hyssopway/job/reclaim.py
+++ b/src/hyssopway/job/reclaim.py
@@ -1,4 +1,4 @@
-"""Takes capacity back for urgent work and for teams below their share."""
+"""Reclaims capacity for urgent jobs and for teams below their fair share."""
 
 from __future__ import annotations
 
@@ -18,33 +18,34 @@
 
     from hyssopway.document import Resources
 
-# Without a band around the target two teams would take the same VM from each other in turn.
+# Without a band around the fair share, two teams would alternately reclaim the same VM from each other.
 HYSTERESIS = 0.05
 
-# A throttled task shows that it is not needed at full speed; then it is stopped.
-THROTTLE_S = 2.0
+# A run that was throttled for this long is evidently not needed at full speed and is stopped.
+THROTTLE_BEFORE_STOP_S = 2.0
 
-# After this a reclaim that made no room is tried elsewhere.
-DEAL_S = 5.0
-# Order, end and report take about 0.2 s over a waiting sync. Three tries fit into the 3.3 s in which urgent
-# work must start; one run took 5.03 s when the first deal made no room.
-URGENT_DEAL_S = 1.0
+# After this time a reclaim that freed no capacity is retried on other runs.
+RECLAIM_TIMEOUT_S = 5.0
+# A stop order, the end of the run and its report take about 0.2 s over a long-polling sync. Three attempts fit
+# into the 3.3 s within which urgent jobs must start; with a longer timeout, a job whose first reclaim freed no
+# capacity took 5.03 s.
+URGENT_RECLAIM_TIMEOUT_S = 1.0
 
-# A run that was asked to end makes no more room when it is asked again.
-ENDING = (ReclaimAction.CHECKPOINT, ReclaimAction.STOP)
+# Actions that end a run: reclaiming such a run again frees no more capacity.
+ENDING_ACTIONS = (ReclaimAction.CHECKPOINT, ReclaimAction.STOP)
 
-MAX_DEALS = 50
+MAX_PENDING_RECLAIMS = 50
 MAX_CANDIDATES = 300
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Deal:
-    """Runs that end so that one job can start.
+class PendingReclaim:
+    """Reclaim in progress: runs that are ended so that one job can start.
 
     Attributes:
-        key: Group of the job.
-        victims: Jobs whose runs end.
-        until: Local time after which the deal is forgotten.
+        key: Group of the job to start.
+        victims: Jobs whose runs are ended.
+        until: Local time at which the reclaim expires.
     """
 
     key: GroupKey
@@ -54,64 +55,64 @@
 
 @dataclass(slots=True, kw_only=True)
 class Reclaimer:
-    """Chooses runs that make room.
+    """Selects the runs to throttle, checkpoint or stop.
 
     Attributes:
-        planner: Present view of the fleet.
+        planner: Scheduler's view of the fleet.
         deals: Reclaims in progress.
-        throttled: Local time at which a job was throttled.
+        throttled: Local time at which each job was first selected.
     """
 
     planner: Planner
-    deals: list[Deal] = field(default_factory=list)
+    deals: list[PendingReclaim] = field(default_factory=list)
     throttled: dict[str, float] = field(default_factory=dict)
 
     def plan(self) -> list[ReclaimRun]:
-        """Returns reclaims for the groups that fitted nowhere."""
-        self._forget()
+        """Returns reclaims for the groups that fitted on no VM."""
+        self._drop_finished()
         targets = self.targets()
-        shares = {team: self.planner.share(team) for team in targets}
+        shares = {team: self.planner.dominant_share(team) for team in targets}
         commands: list[ReclaimRun] = []
         for key in self.planner.blocked:
-            commands += self._serve(key, targets=targets, shares=shares)
+            commands += self._reclaim_for_group(key, targets=targets, shares=shares)
         return commands
 
     def targets(self) -> dict[str, float]:
-        """Returns the fair share of each team that holds or asks for something."""
+        """Returns the fair share of each team that holds or demands resources."""
         planner = self.planner
-        demands = {team: planner.share(team) for team, usage in planner.usage.items() if usage.tasks}
+        demands = {team: planner.dominant_share(team) for team, usage in planner.usage.items() if usage.tasks}
         for key, count in planner.queues.counts.items():
             asked = key.resources.dominant_share(planner.total) * count
             demands[key.team] = demands.get(key.team, 0.0) + asked
-        capped = {team: min(demand, self._most(team)) for team, demand in demands.items()}
+        capped = {team: min(demand, self._max_share(team)) for team, demand in demands.items()}
         return fair_shares(weights={team: planner.weight(team) for team in capped}, demands=capped)
 
-    def _most(self, team: str) -> float:
+    def _max_share(self, team: str) -> float:
         document = self.planner.state.document()
         found = document.team(name=team) if document else None
         return found.limit.dominant_share(self.planner.total) if found else 0.0
 
-    def _serve(
+    def _reclaim_for_group(
         self, key: GroupKey, *, targets: dict[str, float], shares: dict[str, float]
     ) -> list[ReclaimRun]:
         commands: list[ReclaimRun] = []
         need = key.resources
-        part = need.dominant_share(self.planner.total)
-        waiting = self.planner.queues.counts.get(key, 0) - sum(deal.key == key for deal in self.deals)
-        for _ in range(min(waiting, MAX_DEALS - len(self.deals))):
+        job_share = need.dominant_share(self.planner.total)
+        waiting = self.planner.queues.counts.get(key, 0) - sum(reclaim.key == key for reclaim in self.deals)
+        for _ in range(min(waiting, MAX_PENDING_RECLAIMS - len(self.deals))):
             share, target = shares.get(key.team, 0.0), targets.get(key.team, 0.0)
-            if not key.urgent and share + part > target * (1 + HYSTERESIS):
+            if not key.urgent and share + job_share > target * (1 + HYSTERESIS):
                 break
             if not key.urgent and share > target * (1 - HYSTERESIS):
                 break
-            found = self._make_room(key, need=need, targets=targets, shares=shares)
+            found = self._reclaim_for_job(key, need=need, targets=targets, shares=shares)
             commands += found
             if not found or found[0].action is ReclaimAction.THROTTLE:
                 break
-            shares[key.team] = share + part
+            shares[key.team] = share + job_share
         return commands
 
-    def _make_room(
+    def _reclaim_for_job(
         self, key: GroupKey, *, need: Resources, targets: dict[str, float], shares: dict[str, float]
     ) -> list[ReclaimRun]:
         for checkpointable in (True, False):
@@ -123,8 +124,8 @@
             now = self.planner.clock()
             action = self._choose_action(key, victims=victims, checkpointable=checkpointable)
             if action is not ReclaimAction.THROTTLE:
-                until = now + (URGENT_DEAL_S if key.urgent else DEAL_S)
-                self.deals.append(Deal(key=key, victims=tuple(victims), until=until))
+                until = now + (URGENT_RECLAIM_TIMEOUT_S if key.urgent else RECLAIM_TIMEOUT_S)
+                self.deals.append(PendingReclaim(key=key, victims=tuple(victims), until=until))
                 for job_id in victims:
                     placed = self.planner.view.placed[job_id]
                     shares[placed.team] = shares.get(placed.team, 0.0) - placed.need.dominant_share(
@@ -141,7 +142,7 @@
         if checkpointable:
             return ReclaimAction.CHECKPOINT
         now = self.planner.clock()
-        waited = all(now - self.throttled.get(job_id, now) >= THROTTLE_S for job_id in victims)
+        waited = all(now - self.throttled.get(job_id, now) >= THROTTLE_BEFORE_STOP_S for job_id in victims)
         # Urgent work must start within 3.3 s, which leaves no time to throttle first.
         return ReclaimAction.STOP if key.urgent or waited else ReclaimAction.THROTTLE
 
@@ -154,9 +155,9 @@
         shares: dict[str, float],
         checkpointable: bool,
     ) -> list[str]:
-        """Returns runs on one VM that make room together, the youngest first."""
+        """Returns runs on one VM that together free enough capacity, the youngest first."""
         view = self.planner.view
-        gathered: dict[str, tuple[Resources, list[str]]] = {}
+        by_vm: dict[str, tuple[Resources, list[str]]] = {}
         for team in sorted(shares, key=lambda name: targets[name] - shares[name]):
             if not key.urgent and shares[team] <= targets[team] * (1 + HYSTERESIS):
                 break
@@ -164,10 +165,10 @@
                 self._candidates(key, team=team, checkpointable=checkpointable), MAX_CANDIDATES
             ):
                 placed = view.placed[job_id]
-                free, chosen = gathered.get(placed.vm) or (view.free_on(placed.vm), [])
+                free, chosen = by_vm.get(placed.vm) or (view.free_capacity(placed.vm), [])
                 free = free + placed.need
                 chosen.append(job_id)
-                gathered[placed.vm] = (free, chosen)
+                by_vm[placed.vm] = (free, chosen)
                 if need.fits_in(free):
                     return chosen
         return []
@@ -175,14 +176,14 @@
     def _candidates(self, key: GroupKey, *, team: str, checkpointable: bool) -> Iterator[str]:
         if team == key.team and not key.urgent:
             return
-        busy = {job_id for deal in self.deals for job_id in deal.victims}
+        selected = {job_id for reclaim in self.deals for job_id in reclaim.victims}
         jobs, view = self.planner.state.tables.jobs, self.planner.view
         for job_id in reversed(view.held.get((key.pool, team), {})):
             job = jobs.get(job_id)
-            # A start of this round is not agreed yet and cannot be reclaimed.
-            if job is None or job.run is None or job.cancelling or job.spec.urgent or job_id in busy:
+            # A start of this round is not in the replicated state yet and cannot be reclaimed.
+            if job is None or job.run is None or job.cancelling or job.spec.urgent or job_id in selected:
                 continue
-            if job.run.reclaim in ENDING:
+            if job.run.reclaim in ENDING_ACTIONS:
                 continue
             if job.spec.checkpointable is checkpointable and view.placed[job_id].vm in view.where:
                 yield job_id
@@ -191,18 +192,18 @@
         placed = self.planner.view.placed[job_id]
         rule = "urgent work" if key.urgent else "share"
         reason = (
-            f"{rule} of team {key.team} at {self.planner.share(key.team):.1%}; "
-            f"team {placed.team} holds {self.planner.share(placed.team):.1%}"
+            f"{rule} of team {key.team} at {self.planner.dominant_share(key.team):.1%}; "
+            f"team {placed.team} holds {self.planner.dominant_share(placed.team):.1%}"
         )
         return ReclaimRun(job_id=job_id, epoch=placed.epoch, action=action, reason=reason)
 
-    def _forget(self) -> None:
+    def _drop_finished(self) -> None:
         now = self.planner.clock()
         placed = self.planner.view.placed
         self.deals = [
-            deal
-            for deal in self.deals
-            if now < deal.until and any(job_id in placed for job_id in deal.victims)
+            reclaim
+            for reclaim in self.deals
+            if now < reclaim.until and any(job_id in placed for job_id in reclaim.victims)
         ]
         self.throttled = {job_id: at for job_id, at in self.throttled.items() if job_id in placed}
 
--- a/src/hyssopway/job/run_revoker.py
+++ b/src/hyssopway/job/run_revoker.py
@@ -1,4 +1,4 @@
-"""Takes back runs that a home out of contact cannot have ordered."""
+"""Revokes runs whose start order a home out of contact cannot have sent."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
     from .home_monitor import HomeMonitor
 
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 PROPOSE_TIMEOUT_S = 2.0
 
 
 class RunRevoker:
-    """Ends runs that were placed on workers of a home after its last confirmation.
+    """Ends runs that were placed on workers of a home after the home's last confirmation.
 
-    A home with a log orders a run only after a leader confirmed the run's index to it. While ends are
-    proposed here, the home gets no confirmation from this leader. Another leader confirms nothing before
-    it applied all entries of former terms, so a run that is taken back is never ordered.
+    A home with a log sends the start order of a run only after a leader confirmed the run's index to it. While
+    this leader proposes the end of such a run, it gives the home no confirmation. Another leader confirms
+    nothing before it has applied all entries of earlier terms, so a revoked run is never started.
 
     Attributes:
-        replica: Agreed state.
+        replica: Replicated state.
         member: Control member of this daemon.
-        proposer: Way into this daemon's own log; an end may not pass through another leader.
-        home_monitor: Tells which homes are out of contact.
-        confirmed_homes: Homes that ask the leader itself for confirmations.
-        confirmed_indexes: Largest index that this daemon confirmed to each home as leader.
-        undecided_ends: Ends that are not decided yet, by home.
-        term: Term that the ends were found in.
+        proposer: Appends to this daemon's own log; an end must not go through another leader.
+        home_monitor: Determines which homes are out of contact.
+        confirmed_homes: Homes that request confirmations from the leader directly.
+        confirmed_indexes: Largest index that this daemon, as leader, confirmed to each home.
+        undecided_ends: Proposed ends whose outcome is not known yet, by home.
+        term: Term in which the ends were found.
     """
 
     __slots__ = (
@@ -75,30 +75,30 @@
         self.term = 0
 
     async def run(self) -> None:
-        """Checks for as long as the daemon runs."""
+        """Checks periodically for as long as the daemon runs."""
         while True:
             await self.check()
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     async def check(self) -> None:
-        """Ends the runs of homes out of contact that those cannot have ordered."""
+        """Ends the runs that homes out of contact cannot have started."""
         term = self.member.term
         if not self.member.is_leader or term != self.term:
-            # Another leader may have confirmed these runs in between.
+            # Another leader may have confirmed these runs to their home in between.
             self.undecided_ends.clear()
             self.term = term
         if not self.member.is_leader:
             return
         for home in self.home_monitor.find_silent_homes() & self.confirmed_homes:
-            if home not in self.undecided_ends and (ends := self._find_ends(home)):
+            if home not in self.undecided_ends and (ends := self._find_revocable_ends(home)):
                 self.undecided_ends[home] = ends
-        await asyncio.gather(*(self._settle(home, term=term) for home in list(self.undecided_ends)))
+        await asyncio.gather(*(self._propose_ends(home, term=term) for home in list(self.undecided_ends)))
 
-    async def _settle(self, home: str, *, term: int) -> None:
-        """Proposes ends until each is applied or refused; one of unknown outcome may still take effect."""
-        ends = [end for end in self.undecided_ends[home] if self._is_open(end)]
-        decided = await asyncio.gather(*(self._propose(end, term=term) for end in ends))
-        left = [end for end, done in zip(ends, decided, strict=True) if not done]
+    async def _propose_ends(self, home: str, *, term: int) -> None:
+        """Proposes ends and keeps those of unknown outcome, which may still take effect."""
+        ends = [end for end in self.undecided_ends[home] if self._is_current(end)]
+        settled = await asyncio.gather(*(self._propose(end, term=term) for end in ends))
+        left = [end for end, done in zip(ends, settled, strict=True) if not done]
         if left:
             self.undecided_ends[home] = left
         else:
@@ -115,7 +115,7 @@
                 return True
         return False
 
-    def _find_ends(self, home: str) -> list[EndRun]:
+    def _find_revocable_ends(self, home: str) -> list[EndRun]:
         silent_s = self.home_monitor.silent_s(home)
         confirmed = max(self.confirmed_indexes.get(home, 0), self.member.term_start)
         state = self.replica.state
@@ -124,7 +124,7 @@
                 job_id=job_id,
                 epoch=run.epoch,
                 outcome=RunOutcome.STOPPED,
-                detail=f"home {home} fell silent {silent_s:.1f} s ago and did not order the run",
+                detail=f"home {home} has been silent for {silent_s:.1f} s and did not send the start order",
                 vm=vm.name,
                 home_epoch=vm.home_epoch,
             )
@@ -136,7 +136,7 @@
             and run.home_epoch == vm.home_epoch
         ]
 
-    def _is_open(self, end: EndRun) -> bool:
+    def _is_current(self, end: EndRun) -> bool:
         job = self.replica.state.tables.jobs.get(end.job_id)
         run: Run | None = job.run if job is not None else None
         return run is not None and run.epoch == end.epoch
--- a/src/hyssopway/job/scheduler.py
+++ b/src/hyssopway/job/scheduler.py
@@ -24,21 +24,21 @@
 
 Proposal = StartRun | RejectJob | ReclaimRun | ChangeVm
 
-ROUND_S = 0.05
+SCHEDULING_INTERVAL_S = 0.05
 SUBMIT_TIMEOUT_S = 2.0
 
 
 class JobScheduler:
-    """Starts pending jobs and takes capacity back for them.
+    """Starts pending jobs and reclaims capacity for them.
 
     Attributes:
-        replica: Agreed state.
-        submitter: Way to the agreed state.
-        leads: Tells whether this daemon leads.
-        now_ms: Returns agreed time.
-        planner: Chooses starts.
-        quarantine: Tells bad VMs from bad jobs.
-        reclaimer: Chooses runs that make room.
+        replica: Replicated state.
+        submitter: Submits commands to the replicated state.
+        leads: Returns whether this daemon leads.
+        now_ms: Returns the cluster time in milliseconds.
+        planner: Selects the runs to start.
+        quarantine: Distinguishes faulty VMs from faulty jobs.
+        reclaimer: Selects the runs to reclaim.
     """
 
     __slots__ = ("leads", "now_ms", "planner", "quarantine", "reclaimer", "replica", "submitter")
@@ -59,21 +59,21 @@
         self.now_ms = now_ms
         self.planner = Planner(state=replica.state, usage_reports=usage_reports, clock=clock)
         self.quarantine = Quarantine(planner=self.planner)
-        self.planner.avoid = self.quarantine.avoid
+        self.planner.vms_to_avoid = self.quarantine.vms_to_avoid
         self.reclaimer = Reclaimer(planner=self.planner)
 
     async def run(self) -> None:
-        """Schedules for as long as the daemon runs."""
+        """Runs scheduling rounds for as long as the daemon runs."""
         while True:
             if self.leads():
                 await self.schedule_once()
             else:
-                # Changes are read only while leading; a new leader looks at everything once.
+                # Changes are consumed only while leading; a new leader rebuilds its view from the whole state.
                 self.replica.state.indexes.feed.reset()
-            await asyncio.sleep(ROUND_S)
+            await asyncio.sleep(SCHEDULING_INTERVAL_S)
 
     async def schedule_once(self) -> None:
-        """Follows what changed, then proposes starts, rejections and reclaims."""
+        """Runs one round: applies changes, then proposes starts, rejections and reclaims."""
         now_ms = self.now_ms()
         self.planner.refresh(state=self.replica.state, now_ms=now_ms)
         changes = self.quarantine.observe(self.planner.ends)
@@ -87,7 +87,7 @@
         ]
         await asyncio.gather(*(self._submit(command) for command in commands))
         for start in starts:
-            self.planner.follow_job(start.job_id, now_ms=now_ms)
+            self.planner.update_job(start.job_id, now_ms=now_ms)
 
     async def _submit(self, command: Proposal) -> None:
         result = await self.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S)
--- a/src/hyssopway/job/shares.py
+++ b/src/hyssopway/job/shares.py
@@ -1,4 +1,4 @@
-"""Fair shares of teams."""
+"""Weighted fair shares of teams."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 def fair_shares(*, weights: Mapping[str, float], demands: Mapping[str, float]) -> dict[str, float]:
-    """Divides the fleet by weighted max-min on the dominant resource.
+    """Divides the fleet by weighted max-min fairness on the dominant resource.
 
-    The dominant share of a team is the largest part of any resource that it holds (Ghodsi et al.,
-    "Dominant Resource Fairness", NSDI 2011). What a team does not ask for is divided among the others.
+    The dominant share of a team is the largest fraction of any one resource that it holds (Ghodsi et al.,
+    "Dominant Resource Fairness", NSDI 2011). Capacity that a team does not demand is divided among the others.
 
     Args:
         weights: Weight of each team.
-        demands: Dominant share that each team asks for, with what it holds.
+        demands: Dominant share that each team demands, including what it already holds.
 
     Returns:
-        Dominant share of each team; they add up to 1 at most.
+        Dominant share of each team; the sum is at most 1.
     """
     shares: dict[str, float] = {}
     left = 1.0
--- a/src/hyssopway/job/usage_reports.py
+++ b/src/hyssopway/job/usage_reports.py
@@ -1,4 +1,4 @@
-"""What workers last reported of their tasks."""
+"""Last usage that workers reported for their tasks."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TaskUsage:
-    """Reported use of one task.
+    """Reported usage of one task.
 
     Attributes:
-        job_id: Job.
+        job_id: ID of the job.
         epoch: Number of the run.
-        usage: What it uses.
-        ran_s: Seconds since its start.
+        usage: Resources in use.
+        ran_s: Seconds since the task started.
     """
 
     job_id: str
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class UsageReports:
-    """Soft state of the leader; losing it costs only efficiency.
+    """Last reports of all workers; kept in memory only, since losing them costs only efficiency.
 
     Attributes:
-        tasks: Tasks by VM.
+        tasks: Usage of the tasks of each VM.
     """
 
     tasks: dict[str, list[TaskUsage]] = field(default_factory=dict)
 
     def record(self, *, vm: str, tasks: list[TaskUsage]) -> None:
-        """Replaces what is known of a VM."""
+        """Replaces the reported usage of a VM's tasks."""
         self.tasks[vm] = tasks
 
     def find(self, *, vm: str, job_id: str, epoch: int) -> TaskUsage | None:
--- a/tests/job/conftest.py
+++ b/tests/job/conftest.py
@@ -1,4 +1,4 @@
-"""A leader's scheduler over a local state."""
+"""Fixture: the scheduler of a leader on a local state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Leader:
-    """A scheduler whose commands apply at once."""
+    """Scheduler whose commands are applied immediately."""
 
     def __init__(self) -> None:
         self.submitter = prepare()
@@ -32,7 +32,7 @@
         )
 
     async def round(self, count: int = 1) -> None:
-        """Schedules, moving time by a round each."""
+        """Runs scheduling rounds, 0.05 s apart."""
         for _ in range(count):
             await self.scheduler.schedule_once()
             self.clock.now += 0.05
--- a/tests/job/test_home_monitor.py
+++ b/tests/job/test_home_monitor.py
@@ -1,4 +1,4 @@
-"""Ends of runs whose home is out of contact."""
+"""Tests of ending runs whose home is out of contact."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from hyssopway.control.command import PromoteDocument, TrialDocument
 from hyssopway.control.record import JobStatus, VmState
 from hyssopway.job import HomeMonitor
-from hyssopway.job.home_monitor import DOWN_S
+from hyssopway.job.home_monitor import MARK_DOWN_AFTER_S
 from states import DOCUMENT, ManualClock, prepare
 
-# cut_off_run_s of the default policy, the worker's lease and the margin.
+# Sum of the default cut_off_run_s, the worker's lease and the margin.
 ALLOWED_S = 120 + 4 + 5
 
 
 @pytest.mark.parametrize(
-    ("contact_at", "leads_at", "freeze", "lost"),
+    ("contact_at", "leads_at", "suspend", "lost"),
     [
         (None, 0.0, False, True),
         (50.0, 0.0, False, False),
         (None, 50.0, False, False),
         (None, 0.0, True, False),
     ],
-    ids=["silent", "in contact", "new leader", "leader was frozen"],
+    ids=["silent", "in contact", "new leader", "leader was suspended"],
 )
-async def test_home_is_lost_only_after_the_whole_time(contact_at, leads_at, freeze, lost):
-    """Guards against a second run beside one that a cut-off home still keeps alive."""
+async def test_runs_end_only_after_every_lease_has_expired(contact_at, leads_at, suspend, lost):
+    """Guards against starting a second run while a cut-off home still renews the lease of the first."""
     submitter = prepare()
     submitter.register("vm", home="h2")
     submitter.accept("job")
@@ -44,18 +44,18 @@
         if contact_at is not None and clock.now >= contact_at:
             contacts.setdefault("h2", clock.now)
         await homes.check()
-        early = clock.now <= ALLOWED_S
+        before_expiry = clock.now <= ALLOWED_S
         job, vm = submitter.state.tables.jobs["job"], submitter.state.tables.vms["vm"]
-        assert not early or job.status is JobStatus.RUNNING
+        assert not before_expiry or job.status is JobStatus.RUNNING
         out_of_contact = contact_at is None or clock.now < contact_at
-        if leads_at + DOWN_S + 1 < clock.now and out_of_contact and not freeze:
+        if leads_at + MARK_DOWN_AFTER_S + 1 < clock.now and out_of_contact and not suspend:
             assert vm.state is VmState.DOWN
-        clock.now += 60.0 if freeze else 0.5
+        clock.now += 60.0 if suspend else 0.5
     assert (job.status is JobStatus.PENDING) is lost
 
 
-async def test_home_cut_off_before_a_lower_limit_keeps_its_old_one():
-    """Guards against a second run while a cut-off home still renews leases by the former document."""
+async def test_lowered_cut_off_time_does_not_apply_to_a_home_already_cut_off():
+    """Guards against a second run while a cut-off home still renews leases under the previous document."""
     submitter = prepare()
     submitter.register("vm", home="h2")
     submitter.accept("job")
--- a/tests/job/test_quarantine.py
+++ b/tests/job/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Bad VMs and bad jobs."""
+"""Tests of the quarantine of faulty VMs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 async def _run_burst(leader, *, rounds, fails):
-    """Keeps four jobs a round coming and ends every run at once; returns starts on each VM."""
+    """Submits four jobs a round and ends every run at once; returns the number of starts by VM."""
     starts: dict[str, int] = {}
     for number in range(rounds):
         for part in range(4):
@@ -36,18 +36,18 @@
         (lambda *_: True, 0),
         (lambda *_: False, 0),
     ],
-    ids=["one bad VM", "one bad kind sent again and again", "a bad rack", "everything fails", "all well"],
+    ids=["one faulty VM", "one faulty task kind", "a faulty rack", "all runs fail", "no run fails"],
 )
-async def test_quarantine_finds_bad_vms_and_spares_the_fleet(leader, fails, quarantined):
-    """Guards against a bad worker that eats jobs, and against a bad job that empties the fleet."""
+async def test_quarantine_finds_only_faulty_vms(leader, fails, quarantined):
+    """Guards against a faulty VM that fails many jobs, and a faulty job that gets healthy VMs quarantined."""
     for number in range(8):
         leader.submitter.register(f"vm{number}", rack=f"r{number // 4}")
     await _run_burst(leader, rounds=30, fails=fails)
     assert _states(leader).count(VmState.QUARANTINED) == quarantined
 
 
-async def test_bad_vm_is_found_within_a_handful_of_starts_and_loses_no_job(leader):
-    """Guards against jobs that use up their tries on one bad VM."""
+async def test_faulty_vm_is_found_within_twelve_starts_and_fails_no_job(leader):
+    """Guards against jobs that use up their attempts on one faulty VM."""
     for number in range(8):
         leader.submitter.register(f"vm{number}")
     starts = await _run_burst(leader, rounds=40, fails=lambda _, vm: vm == "vm0")
@@ -57,13 +57,13 @@
 
 
 async def test_repaired_vm_is_released_after_probe_runs(leader):
-    """Guards against a VM that stays out of work after its repair."""
+    """Guards against a VM that stays quarantined after its repair."""
     for number in range(4):
         leader.submitter.register(f"vm{number}")
-    bad = {"vm0"}
-    await _run_burst(leader, rounds=30, fails=lambda _, vm: vm in bad)
+    faulty = {"vm0"}
+    await _run_burst(leader, rounds=30, fails=lambda _, vm: vm in faulty)
     assert leader.submitter.state.tables.vms["vm0"].state is VmState.QUARANTINED
-    bad.clear()
+    faulty.clear()
     for round_ in range(30, 200):
         leader.submitter.accept(f"more{round_}", team="blue", task_kind="k0")
         await leader.round()
@@ -73,8 +73,8 @@
     assert leader.submitter.state.tables.vms["vm0"].state is VmState.READY
 
 
-async def test_vm_that_only_fails_is_held_out_before_others_are_done(leader):
-    """Guards against a bad worker that eats a first burst, when nothing is done elsewhere yet."""
+async def test_vm_that_only_fails_is_excluded_before_other_vms_succeed(leader):
+    """Guards against a faulty VM that fails a whole first burst, before any run on another VM has succeeded."""
     for number in range(8):
         leader.submitter.register(f"vm{number}")
     for number in range(60):
--- a/tests/job/test_run_revoker.py
+++ b/tests/job/test_run_revoker.py
@@ -1,4 +1,4 @@
-"""Runs that are taken back from homes out of contact."""
+"""Tests of revoking runs from homes that are out of contact."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hyssopway.control import seal_command
 from hyssopway.control.record import JobStatus
 from hyssopway.job import HomeMonitor, RunRevoker
-from hyssopway.job.home_monitor import SILENT_S
+from hyssopway.job.home_monitor import SILENT_AFTER_S
 from hyssopway.result import Failure, ResultCode
 from states import LocalSubmitter, ManualClock, prepare
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class FakeMember:
-    """A member that leads."""
+    """Control member that is the leader."""
 
     is_leader: bool = True
     term: int = 1
@@ -30,7 +30,7 @@
 
 @dataclass
 class FakeProposer:
-    """Applies proposals at once, or leaves their outcome unknown."""
+    """Applies proposals immediately, or leaves their outcome unknown."""
 
     submitter: LocalSubmitter
     unknown: bool = False
@@ -44,15 +44,15 @@
 
 
 @dataclass
-class World:
-    """A leader with one run on a worker of home `h2`, which was never in contact."""
+class RevokerHarness:
+    """Leader with one run on a worker of home `h2`, which was never in contact."""
 
     submitter: LocalSubmitter = field(default_factory=prepare)
     clock: ManualClock = field(default_factory=ManualClock)
     member: FakeMember = field(default_factory=FakeMember)
 
     def __post_init__(self) -> None:
-        """Places the run and builds what watches its home."""
+        """Places the run and builds the home monitor and the revoker."""
         self.submitter.register("vm", home="h2")
         self.submitter.accept("job")
         self.submitter.start("job", "vm")
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("case", "taken_back"),
+    ("case", "revoked"),
     [
         ("never confirmed", True),
         ("confirmed before the start", True),
@@ -98,54 +98,54 @@
         ("another daemon leads", False),
     ],
 )
-async def test_run_is_taken_back_only_when_its_home_cannot_have_ordered_it(case, taken_back):
-    """Guards against a second run beside one that a cut-off home ordered."""
-    world = World()
-    started = world.submitter.state.tables.jobs["job"].run.started_index
-    await world.check()
+async def test_run_is_revoked_only_when_its_home_cannot_have_started_it(case, revoked):
+    """Guards against starting a second run while the first, started by a cut-off home, still runs."""
+    harness = RevokerHarness()
+    started = harness.submitter.state.tables.jobs["job"].run.started_index
+    await harness.check()
     match case:
         case "confirmed before the start":
-            world.runs.confirmed_indexes["h2"] = started - 1
+            harness.runs.confirmed_indexes["h2"] = started - 1
         case "confirmed with the start":
-            world.runs.confirmed_indexes["h2"] = started
+            harness.runs.confirmed_indexes["h2"] = started
         case "started in a former term":
-            world.member.term_start = started + 1
+            harness.member.term_start = started + 1
         case "worker moved to another home":
-            world.submitter.register("vm", home="h3")
-            world.submitter.register("vm", home="h2")
+            harness.submitter.register("vm", home="h3")
+            harness.submitter.register("vm", home="h2")
         case "home without a log":
-            world.runs.confirmed_homes = set()
+            harness.runs.confirmed_homes = set()
         case "home in contact":
-            world.homes.contacts["h2"] = world.clock.now + SILENT_S
+            harness.homes.contacts["h2"] = harness.clock.now + SILENT_AFTER_S
         case "another daemon leads":
-            world.member.is_leader = False
-    await world.check(after_s=SILENT_S + 0.1)
-    assert (world.status is JobStatus.PENDING) is taken_back
-    assert world.runs.undecided_ends == {}
-
-
-async def test_confirmations_are_withheld_until_the_end_is_decided():
-    """Guards against a home that orders a run while its end is on the way into the log."""
-    world = World()
-    world.proposer.unknown = True
-    await world.check()
-    await world.check(after_s=SILENT_S + 0.1)
-    assert [end.job_id for end in world.runs.undecided_ends["h2"]] == ["job"]
-    world.homes.contacts["h2"] = world.clock.now
-    world.proposer.unknown = False
-    await world.check()
-    assert world.status is JobStatus.PENDING
-    assert world.runs.undecided_ends == {}
+            harness.member.is_leader = False
+    await harness.check(after_s=SILENT_AFTER_S + 0.1)
+    assert (harness.status is JobStatus.PENDING) is revoked
+    assert harness.runs.undecided_ends == {}
+
+
+async def test_end_stays_undecided_until_its_outcome_is_known():
+    """Guards against a home that gets a run confirmed and starts it while the end of the run is proposed."""
+    harness = RevokerHarness()
+    harness.proposer.unknown = True
+    await harness.check()
+    await harness.check(after_s=SILENT_AFTER_S + 0.1)
+    assert [end.job_id for end in harness.runs.undecided_ends["h2"]] == ["job"]
+    harness.homes.contacts["h2"] = harness.clock.now
+    harness.proposer.unknown = False
+    await harness.check()
+    assert harness.status is JobStatus.PENDING
+    assert harness.runs.undecided_ends == {}
 
 
 async def test_undecided_ends_of_a_former_term_are_dropped():
-    """Guards against an end of a run that another leader confirmed to the home in between."""
-    world = World()
-    world.proposer.unknown = True
-    await world.check()
-    await world.check(after_s=SILENT_S + 0.1)
-    world.proposer.unknown = False
-    world.member.term, world.member.term_start = 3, 1_000
-    await world.check()
-    assert world.status is JobStatus.RUNNING
-    assert world.runs.undecided_ends == {}
+    """Guards against ending a run that another leader confirmed to the home in the meantime."""
+    harness = RevokerHarness()
+    harness.proposer.unknown = True
+    await harness.check()
+    await harness.check(after_s=SILENT_AFTER_S + 0.1)
+    harness.proposer.unknown = False
+    harness.member.term, harness.member.term_start = 3, 1_000
+    await harness.check()
+    assert harness.status is JobStatus.RUNNING
+    assert harness.runs.undecided_ends == {}
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Placement, shares and reclaiming."""
+"""Tests of placement, fair shares and reclaiming."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from hyssopway.control.record import JobStatus, ReclaimAction, RunOutcome, ZoneStatus
 from hyssopway.document import Resources
 from hyssopway.job import TaskUsage, explain_pending
-from hyssopway.job.capacity_tree import CLOSED, CapacityTree
+from hyssopway.job.capacity_tree import UNAVAILABLE, CapacityTree
 from hyssopway.job.estimates import MAX_KINDS, Estimates
 from hyssopway.job.shares import fair_shares
 from states import CAPACITY, DOCUMENT
@@ -29,26 +29,28 @@
         ({"a": 1}, {"a": 0.4}, {"a": 0.4}),
         ({}, {}, {}),
     ],
-    ids=["full", "borrowed", "three", "fleet not full", "no team"],
+    ids=["full", "unused share", "three teams", "fleet not full", "no team"],
 )
 def test_fair_shares(weights, demands, expected):
-    """Guards against a share that a team gets at the cost of one that asks for its own."""
+    """Guards against a share that a team gets at the expense of a team with unmet demand for its own."""
     assert fair_shares(weights=weights, demands=demands) == pytest.approx(expected)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(size=st.integers(1, 40), seed=st.integers(0, 1000))
-def test_tree_finds_a_vm_exactly_when_one_fits(size, seed):
-    """Guards against a job that waits although a VM has room, and against a VM without room."""
+def test_tree_finds_a_vm_if_and_only_if_one_fits(size, seed):
+    """Guards against a job that stays pending although a VM fits, and a placement on a VM that is too full."""
     rng = random.Random(seed)
-    free = {f"v{number}": (CLOSED, CLOSED) for number in range(size)}
+    free = {f"v{number}": (UNAVAILABLE, UNAVAILABLE) for number in range(size)}
     tree = CapacityTree(list(free))
     filled = [name for name in free if rng.random() < 0.5]
     free |= {name: (rng.randint(0, 8), rng.randint(0, 8)) for name in filled}
-    tree.fill({name: free[name] for name in filled})
+    tree.set_all({name: free[name] for name in filled})
     for _ in range(3 * size):
         name = rng.choice(list(free))
-        free[name] = (rng.randint(0, 8), rng.randint(0, 8)) if rng.random() < 0.8 else (CLOSED, CLOSED)
+        free[name] = (
+            (rng.randint(0, 8), rng.randint(0, 8)) if rng.random() < 0.8 else (UNAVAILABLE, UNAVAILABLE)
+        )
         tree.set(name, cores=free[name][0], memory_gb=free[name][1])
         cores, memory_gb = rng.randint(0, 8), rng.randint(0, 8)
         found = tree.find(cores=cores, memory_gb=memory_gb)
@@ -57,7 +59,7 @@
 
 
 async def test_tasks_spread_over_zones_and_racks(leader):
-    """Guards against one rack whose failure takes all tasks of a kind."""
+    """Guards against a placement in which the failure of one rack ends all tasks."""
     for number in range(8):
         zone, rack = "ab"[number % 2], f"r{number // 2 % 2}"
         leader.submitter.register(f"vm{number}", zone=zone, rack=rack)
@@ -69,8 +71,8 @@
     assert len(places) == 4
 
 
-async def test_small_work_leaves_accelerator_vms_whole(leader):
-    """Guards against accelerators that no job can use because small work fills their VM."""
+async def test_small_jobs_do_not_fragment_accelerator_vms(leader):
+    """Guards against accelerators that stay unused because jobs without accelerators fill their VM."""
     leader.submitter.register("plain")
     leader.submitter.register("gpu", capacity=Resources(cores=16, memory_gb=64, accelerators=4))
     for number in range(4):
@@ -82,7 +84,7 @@
 
 
 async def test_estimate_corrects_the_declared_size(leader):
-    """Guards against a fleet that stays half empty because submitters declare too much."""
+    """Guards against a fleet that stays half empty because submitters declare more than their jobs use."""
     leader.submitter.register("vm")
     for number in range(3):
         leader.submitter.accept(f"j{number}", team="blue", resources=HALF)
@@ -108,8 +110,8 @@
 
 
 @pytest.mark.parametrize("checkpointable", [True, False])
-async def test_urgent_work_takes_room_at_once_on_a_full_fleet(leader, checkpointable):
-    """Guards against urgent work that waits for the end of other tasks."""
+async def test_urgent_job_reclaims_capacity_at_once_on_a_full_fleet(leader, checkpointable):
+    """Guards against an urgent job that waits until other tasks end by themselves."""
     leader.submitter.register("vm")
     for number in range(2):
         leader.submitter.accept(f"j{number}", team="blue", resources=HALF, checkpointable=checkpointable)
@@ -125,8 +127,8 @@
     assert any("reclaimed by" in line for line in reclaimed[0].history)
 
 
-async def test_urgent_work_is_tried_elsewhere_while_it_can_still_start_in_time(leader):
-    """Guards against urgent work that waits for one task which does not end."""
+async def test_urgent_reclaim_is_retried_on_another_vm(leader):
+    """Guards against an urgent job that waits for one reclaimed task which does not end."""
     for number in range(2):
         leader.submitter.register(f"vm{number}", rack=f"a-{number}")
         leader.submitter.accept(f"j{number}", team="blue", resources=CAPACITY)
@@ -137,7 +139,7 @@
 
 
 async def test_share_is_reclaimed_by_throttle_and_then_by_stop(leader):
-    """Guards against a borrower that keeps what another team is entitled to."""
+    """Guards against a team above its fair share that keeps capacity which another team is entitled to."""
     leader.submitter.register("vm", capacity=Resources(cores=16, memory_gb=256))
     for number in range(3):
         leader.submitter.accept(f"r{number}", resources=Resources(cores=5, memory_gb=1))
@@ -158,7 +160,7 @@
 
 
 async def test_returning_zone_is_filled_in_steps(leader):
-    """Guards against a zone that takes all work at once and fails again."""
+    """Guards against a returning zone that gets all work at once and fails again."""
     for number in range(4):
         leader.submitter.register(f"vm{number}")
     leader.submitter.must(SetZone(zone="a", status=ZoneStatus.RETURNING, request_id="r", operator="o"))
@@ -170,8 +172,8 @@
         leader.clock.now += 2
 
 
-async def test_job_that_can_no_longer_run_is_told_and_blocks_nobody(leader):
-    """Guards against a job that waits for ever after its pool shrank."""
+async def test_job_that_can_no_longer_run_is_rejected_and_blocks_no_other(leader):
+    """Guards against a job that stays pending forever after the VMs that fit it left the pool."""
     leader.submitter.accept("big", team="blue", resources=Resources(cores=99, memory_gb=1))
     leader.submitter.accept("small", team="blue")
     leader.submitter.register("vm")
@@ -181,8 +183,8 @@
     assert leader.vm_of("small") == "vm"
 
 
-async def test_failed_job_is_tried_again_on_a_quiet_group(leader):
-    """Guards against a retry that waits for state time while nothing is agreed."""
+async def test_failed_job_is_retried_without_further_commands(leader):
+    """Guards against a retry that never comes because no command advances the cluster time of the state."""
     leader.submitter.register("vm")
     leader.submitter.accept("j")
     await leader.round()
@@ -194,8 +196,8 @@
     assert leader.vm_of("j") == "vm"
 
 
-async def test_refused_start_is_taken_back(leader, monkeypatch):
-    """Guards against capacity that stays kept for a start that the state machine refused."""
+async def test_refused_start_releases_its_capacity(leader, monkeypatch):
+    """Guards against capacity that stays reserved for a start which the state machine refused."""
     leader.submitter.register("vm")
     leader.submitter.accept("j", resources=Resources(cores=16, memory_gb=64))
     submit = leader.submitter.submit
@@ -212,7 +214,7 @@
 
 
 async def test_lowered_limit_is_enforced_on_running_tasks(leader):
-    """Guards against a team that stays above a limit that operators lowered."""
+    """Guards against a team that stays above its upper limit after operators lowered it."""
     leader.submitter.register("vm", capacity=Resources(cores=64, memory_gb=256))
     for number in range(3):
         leader.submitter.accept(f"r{number}")
@@ -234,12 +236,12 @@
     ("jobs", "register", "rule"),
     [
         (4, True, "upper limit: team red holds 3 of 3"),
-        (1, False, "room: by declared sizes the job fits on 0"),
+        (1, False, "capacity: by declared sizes the job fits on 0"),
     ],
-    ids=["limit", "room"],
+    ids=["limit", "capacity"],
 )
-async def test_waiting_job_is_explained(leader, jobs, register, rule):
-    """Guards against a job that waits without a reason."""
+async def test_pending_job_is_explained(leader, jobs, register, rule):
+    """Guards against a pending job for which no reason is reported."""
     if register:
         leader.submitter.register("vm")
     for number in range(jobs):
@@ -248,8 +250,8 @@
     assert rule in explain_pending(leader.submitter.state, job=leader.jobs[f"r{jobs - 1}"])
 
 
-def test_estimates_forget_the_oldest_of_too_many_kinds():
-    """Guards against submitters that fill the leader with names of kinds."""
+def test_estimates_evict_the_oldest_of_too_many_kinds():
+    """Guards against submitters that exhaust the leader's memory with many task kinds."""
     estimates = Estimates()
     for number in range(MAX_KINDS + 5):
         estimates.observe(team="red", task_kind=f"k{number}", usage=HALF, ran_s=1)
@@ -257,8 +259,8 @@
     assert ("red", "k0") not in estimates.kinds
 
 
-async def test_withdrawn_zone_takes_nothing_and_takes_work_again_when_open(leader):
-    """Guards against a scheduler that overlooks the change of a zone."""
+async def test_withdrawn_zone_gets_no_work_until_it_is_open_again(leader):
+    """Guards against a scheduler that misses a change of a zone's status."""
     leader.submitter.register("vm-a", zone="a")
     leader.submitter.register("vm-b", zone="b")
     for number, (status, vms) in enumerate(
@@ -278,8 +280,8 @@
             leader.end(name)
 
 
-async def test_vms_of_a_silent_home_take_nothing_until_it_is_in_contact(leader):
-    """Guards against jobs placed on workers that nobody can give orders to."""
+async def test_vms_of_a_silent_home_get_no_work_until_it_is_in_contact(leader):
+    """Guards against jobs placed on workers whose home cannot send them start orders."""
     leader.submitter.register("vm-1", home="h1")
     leader.submitter.register("vm-2", home="h2")
     for number, (silent, vms) in enumerate([({"h2"}, {"vm-1"}), (set(), {"vm-1", "vm-2"})]):
