--- a/tests/job/test_home_monitor.py
+++ b/tests/job/test_home_monitor.py
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contact_at", "leads_at", "suspend", "lost"),
+    ("contact_at", "leads_at", "freeze", "lost"),
     [
         (None, 0.0, False, True),
         (50.0, 0.0, False, False),
@@ -24,7 +24,7 @@
     ],
     ids=["silent", "in contact", "new leader", "leader was suspended"],
 )
-async def test_runs_end_only_after_every_lease_has_expired(contact_at, leads_at, suspend, lost):
+async def test_runs_end_only_after_every_lease_has_expired(contact_at, leads_at, freeze, lost):
     """Guards against starting a second run while a cut-off home still renews the lease of the first."""
     submitter = prepare()
     submitter.register("vm", home="h2")
@@ -48,9 +48,9 @@
         job, vm = submitter.state.tables.jobs["job"], submitter.state.tables.vms["vm"]
         assert not before_expiry or job.status is JobStatus.RUNNING
         out_of_contact = contact_at is None or clock.now < contact_at
-        if leads_at + MARK_DOWN_AFTER_S + 1 < clock.now and out_of_contact and not suspend:
+        if leads_at + MARK_DOWN_AFTER_S + 1 < clock.now and out_of_contact and not freeze:
             assert vm.state is VmState.DOWN
-        clock.now += 60.0 if suspend else 0.5
+        clock.now += 60.0 if freeze else 0.5
     assert (job.status is JobStatus.PENDING) is lost
 
 
--- a/tests/job/test_run_revoker.py
+++ b/tests/job/test_run_revoker.py
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize(
-    ("case", "revoked"),
+    ("case", "taken_back"),
     [
         ("never confirmed", True),
         ("confirmed before the start", True),
@@ -98,7 +98,7 @@
         ("another daemon leads", False),
     ],
 )
-async def test_run_is_revoked_only_when_its_home_cannot_have_started_it(case, revoked):
+async def test_run_is_revoked_only_when_its_home_cannot_have_started_it(case, taken_back):
     """Guards against starting a second run while the first, started by a cut-off home, still runs."""
     harness = RevokerHarness()
     started = harness.submitter.state.tables.jobs["job"].run.started_index
@@ -120,7 +120,7 @@
         case "another daemon leads":
             harness.member.is_leader = False
     await harness.check(after_s=SILENT_AFTER_S + 0.1)
-    assert (harness.status is JobStatus.PENDING) is revoked
+    assert (harness.status is JobStatus.PENDING) is taken_back
     assert harness.runs.undecided_ends == {}
 
 
--- a/tests/job/test_scheduler.py
+++ b/tests/job/test_scheduler.py
@@ -29,7 +29,7 @@
         ({"a": 1}, {"a": 0.4}, {"a": 0.4}),
         ({}, {}, {}),
     ],
-    ids=["full", "unused share", "three teams", "fleet not full", "no team"],
+    ids=["full", "borrowed", "three", "fleet not full", "no team"],
 )
 def test_fair_shares(weights, demands, expected):
     """Guards against a share that a team gets at the expense of a team with unmet demand for its own."""
@@ -238,7 +238,7 @@
         (4, True, "upper limit: team red holds 3 of 3"),
         (1, False, "capacity: by declared sizes the job fits on 0"),
     ],
-    ids=["limit", "capacity"],
+    ids=["limit", "room"],
 )
 async def test_pending_job_is_explained(leader, jobs, register, rule):
     """Guards against a pending job for which no reason is reported."""
