--- a/src/hyssopway/fleet/__init__.py
+++ b/src/hyssopway/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Pools, permits, waves, zones and buffers."""
+"""Fleet control on the leader: drains, moves, maintenance waves, zones and lending of spare VMs."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -1,4 +1,4 @@
-"""Carries planned stops through while this daemon leads."""
+"""Executes planned stops, moves and zone changes while this daemon leads."""
 
 from __future__ import annotations
 
@@ -35,41 +35,42 @@
 
     from .rebooter import Rebooter
 
-ROUND_S = 0.5
+CONTROL_INTERVAL_S = 0.5
 SUBMIT_TIMEOUT_S = 2.0
 
 
 class FleetController:
-    """One task that looks at the agreed state and proposes the next steps.
+    """Control loop that reads the replicated state and proposes the next steps.
 
-    Everything that must survive a change of leader is in the agreed state.
+    Everything that must survive a change of leader is in the replicated state.
 
     Attributes:
-        replica: Agreed state.
-        submitter: Way to the agreed state.
-        leads: Tells whether this daemon leads.
-        rebooter: Has the platform reboot VMs; None without a platform, and waves do not start then.
+        replica: Replicated state.
+        submitter: Submits commands to the replicated state.
+        leads: Returns whether this daemon leads.
+        rebooter: Reboots VMs through the platform; None without a platform, in which case waves do not advance.
         clock: Monotonic seconds.
-        now_ms: Returns agreed time.
-        asking: Questions about drains whose record is on its way, by VM and start.
-        late: Waves that were reported as late.
-        demand: Demand of pools; soft state.
-        last_return_ms: Time of the last return step by zone.
-        broken: Budget that failures alone exceed, as reported last.
+        now_ms: Returns the cluster time in milliseconds.
+        unconfirmed_questions: VM and start of the overdue drains whose question was submitted by this daemon
+            but is not yet seen in the replicated state.
+        reported_late: Waves that were reported as late.
+        demand: Smoothed demand of pools; kept in memory only.
+        last_return_ms: Cluster time of the last return step by zone.
+        reported_broken_budget: Budget that was last reported as exceeded by failures alone.
     """
 
     __slots__ = (
-        "asking",
-        "broken",
         "clock",
         "demand",
         "last_return_ms",
-        "late",
         "leads",
         "now_ms",
         "rebooter",
         "replica",
+        "reported_broken_budget",
+        "reported_late",
         "submitter",
+        "unconfirmed_questions",
     )
 
     def __init__(
@@ -90,31 +91,31 @@
         self.rebooter = rebooter
         self.demand = Demand()
         self.last_return_ms: dict[str, int] = {}
-        self.asking: set[tuple[str, int]] = set()
-        self.late: set[str] = set()
-        self.broken = ""
+        self.unconfirmed_questions: set[tuple[str, int]] = set()
+        self.reported_late: set[str] = set()
+        self.reported_broken_budget = ""
 
     async def run(self) -> None:
-        """Controls for as long as the daemon runs."""
+        """Runs control rounds for as long as the daemon runs."""
         while True:
             if self.leads():
                 await self.control_once()
             else:
-                self._rest()
-            await asyncio.sleep(ROUND_S)
+                self._stop_rebooter()
+            await asyncio.sleep(CONTROL_INTERVAL_S)
 
     async def control_once(self) -> None:
-        """Makes one round."""
+        """Runs one control round."""
         state = self.replica.state
         await asyncio.gather(*(self._submit(command) for command in decide_moves(state)))
         await self._advance_waves()
         await self._advance_zones()
         await self._lend()
         await self._ask_operator()
-        self._report_late()
-        self._report_broken()
+        self._report_late_waves()
+        self._report_broken_budget()
 
-    def _rest(self) -> None:
+    def _stop_rebooter(self) -> None:
         if self.rebooter is not None:
             self.rebooter.stop()
 
@@ -156,7 +157,7 @@
 
     async def _submit(self, command: ChangeVm | MoveVm | ReturnPermit) -> None:
         source = self.replica.state.tables.vms[command.vm].pool
-        # A refusal means that the state has moved on; the next round looks at it again.
+        # A refusal means that the state has changed meanwhile; the next round decides again.
         result = await self.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S)
         if result.is_error():
             return
@@ -169,48 +170,48 @@
                 )
 
     async def _ask_operator(self) -> None:
-        """Asks once about each overdue drain, over all leaders."""
+        """Asks the operator once about each overdue drain, also across changes of the leader."""
         overdue = find_overdue_drains(self.replica.state, now_ms=self.now_ms())
-        self.asking &= {(permit.vm, permit.at_ms) for permit in overdue}
+        self.unconfirmed_questions &= {(permit.vm, permit.at_ms) for permit in overdue}
         for permit in overdue:
             key = (permit.vm, permit.at_ms)
             if not permit.asked:
-                # The answer may be lost after the record was agreed; the next round then finds it.
-                self.asking.add(key)
+                # The reply may be lost after the command was committed; a later round then finds the record.
+                self.unconfirmed_questions.add(key)
                 await self.submitter.submit(
                     NoteQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
                     timeout_s=SUBMIT_TIMEOUT_S,
                 )
-            if permit.asked and key in self.asking:
-                self.asking.discard(key)
+            if permit.asked and key in self.unconfirmed_questions:
+                self.unconfirmed_questions.discard(key)
                 question = (
-                    f"its work does not end; wait on, or have it stopped? POST /v1/vms/{permit.vm}/decision"
+                    f"its work does not end; keep waiting or stop the work? POST /v1/vms/{permit.vm}/decision"
                 )
                 log_event(Event.OPERATOR_NEEDED, subject=f"VM {permit.vm}", question=question)
 
-    def _report_late(self) -> None:
-        """Tells operators once in a leadership that a wave will miss its deadline."""
+    def _report_late_waves(self) -> None:
+        """Reports, once per term as leader, each wave that will miss its deadline."""
         state = self.replica.state
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
             if is_under_way(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
         }
-        for wave_id in sorted(late.keys() - self.late):
+        for wave_id in sorted(late.keys() - self.reported_late):
             question = (
-                f"it will end {late[wave_id] / 1000:.0f} s after period_s; "
-                "raise budgets or period_s, or leave it late?"
+                f"the wave will end {late[wave_id] / 1000:.0f} s after period_s; "
+                "raise budgets or period_s, or accept the delay?"
             )
             log_event(Event.OPERATOR_NEEDED, subject=wave_id, question=question)
-        self.late = set(late)
+        self.reported_late = set(late)
 
-    def _report_broken(self) -> None:
+    def _report_broken_budget(self) -> None:
         broken = find_broken(self.replica.state)
-        if broken and broken != self.broken:
+        if broken and broken != self.reported_broken_budget:
             log_event(Event.BUDGET_BROKEN, reason=broken)
-        if self.broken and not broken:
+        if self.reported_broken_budget and not broken:
             log_event(Event.BUDGET_RESTORED)
-        self.broken = broken
+        self.reported_broken_budget = broken
 
 
 __all__ = ["FleetController"]
--- a/src/hyssopway/fleet/demand.py
+++ b/src/hyssopway/fleet/demand.py
@@ -1,4 +1,4 @@
-"""Demand of pools that their own VMs cannot carry."""
+"""Demand of pools that exceeds the capacity of their own VMs."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
     from hyssopway.control import ControlState
 
-# Queues get five times their mean for some seconds; shorter peaks are over before a VM has moved.
+# Queues reach five times their mean for some seconds; shorter peaks are over before a VM has been moved.
 SMOOTHING_S = 10.0
 
 
 @dataclass(slots=True, kw_only=True)
 class Demand:
-    """Smoothed demand of one leadership; soft state.
+    """Exponentially smoothed demand; kept in memory and restarted by a new leader.
 
     Attributes:
-        cores: Cores that wait for a VM, by pool.
+        cores: Smoothed number of cores that pending jobs wait for, by pool.
         noted_at: Local time of the last sample.
     """
 
@@ -30,7 +30,7 @@
     noted_at: float = 0.0
 
     def add_sample(self, *, waiting: Mapping[str, float], now: float) -> None:
-        """Takes a sample."""
+        """Adds a sample of the waiting cores by pool."""
         weight = 1.0 - math.exp(-max(0.0, now - self.noted_at) / SMOOTHING_S)
         for pool in {*self.cores, *waiting}:
             known = self.cores.get(pool, 0.0)
@@ -39,9 +39,9 @@
 
 
 def count_waiting_cores(state: ControlState) -> dict[str, float]:
-    """Returns the declared cores of pending jobs by pool, without those that a team's limit holds back.
+    """Returns the declared cores of pending jobs by pool, without jobs that the limit of their team blocks.
 
-    No VM would run them, however many are lent.
+    Blocked jobs would not run however many VMs are lent.
     """
     cores: dict[str, float] = {}
     document = state.document()
--- a/src/hyssopway/fleet/drains.py
+++ b/src/hyssopway/fleet/drains.py
@@ -1,4 +1,4 @@
-"""What the leader does about drains: moves that can be made and drains that do not end."""
+"""Completed drains, after which a VM can be moved, and drains that take too long."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def decide_moves(state: ControlState) -> list[MoveVm | ReturnPermit]:
-    """Returns the moves of VMs that are empty by now."""
+    """Returns the moves of VMs that have drained, and returns permits whose target pool no longer exists."""
     document = state.document()
     commands: list[MoveVm | ReturnPermit] = []
     for permit in state.tables.permits.values():
@@ -34,7 +34,7 @@
 
 
 def find_overdue_drains(state: ControlState, *, now_ms: int) -> list[Permit]:
-    """Returns the permits of VMs whose work did not end in time."""
+    """Returns the permits of VMs that have been draining for longer than `drain_s`."""
     document = state.document()
     policy = document.maintenance if document else MaintenancePolicy()
     return [
--- a/src/hyssopway/fleet/holders.py
+++ b/src/hyssopway/fleet/holders.py
@@ -1,4 +1,4 @@
-"""Holders of the permits by which VMs leave their pools for a time."""
+"""Holder names of the permits under which VMs leave their pools temporarily."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 _WITHDRAWAL = "withdrawal of "
 
 
-def holder_of(zone: Zone) -> str:
-    """Returns the holder of the permits of a withdrawal."""
+def withdrawal_holder(zone: Zone) -> str:
+    """Returns the name of the holder of a zone withdrawal's permits."""
     return f"{_WITHDRAWAL}{zone.name}"
 
 
-def is_away(vm: Vm) -> bool:
-    """Tells whether a VM goes back to another pool later; a second move would forget that pool."""
+def is_temporarily_moved(vm: Vm) -> bool:
+    """Returns whether a VM is to return to another pool later; a second move would lose that pool's name."""
     return vm.moved_for == LENDING or vm.moved_for.startswith(_WITHDRAWAL)
 
 
-__all__ = ["LENDING", "holder_of", "is_away"]
+__all__ = ["LENDING", "is_temporarily_moved", "withdrawal_holder"]
--- a/src/hyssopway/fleet/rebooter.py
+++ b/src/hyssopway/fleet/rebooter.py
@@ -1,4 +1,4 @@
-"""Has the platform reboot the VMs of waves."""
+"""Reboots the VMs of waves through the platform."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class Rebooter:
-    """One task for each VM that is rebooting.
+    """Runs one task for each VM that is rebooting.
 
-    Operation ids come from wave and VM, so a new leader asks for the same operations again and the
-    platform does none of them twice.
+    Operation IDs are derived from wave and VM, so a new leader repeats the same requests and the platform
+    executes each operation only once.
 
     Attributes:
-        platform: The platform.
-        tasks: Tasks by wave and VM.
-        returned: Waves and VMs that the platform lists as rebooted and returned.
+        platform: Client of the platform.
+        tasks: Reboot tasks by wave and VM.
+        returned: Pairs of wave and VM that the platform reports as rebooted and returned.
     """
 
     __slots__ = ("platform", "returned", "tasks")
@@ -36,7 +36,7 @@
         self.returned: set[tuple[str, str]] = set()
 
     def reconcile(self, state: ControlState) -> None:
-        """Starts the tasks of VMs that are rebooting by now and drops those of others."""
+        """Starts a task for each VM that is rebooting and ends the tasks of all other VMs."""
         wanted = {
             (wave.wave_id, vm)
             for wave in state.tables.waves.values()
@@ -44,14 +44,14 @@
         }
         self.returned &= wanted
         for key in [key for key, task in self.tasks.items() if task.done() or key not in wanted]:
-            _end(self.tasks.pop(key))
+            _end_task(self.tasks.pop(key))
         for key in sorted(wanted - self.returned - self.tasks.keys()):
             self.tasks[key] = asyncio.create_task(
                 self._reboot(wave=key[0], vm=key[1]), name=f"reboot {key[1]}"
             )
 
     def stop(self) -> None:
-        """Stops asking; the platform goes on with what it was asked for."""
+        """Cancels all tasks; the platform continues the operations that were requested."""
         for task in self.tasks.values():
             task.cancel()
         self.tasks.clear()
@@ -70,8 +70,8 @@
         self.returned.add((wave, vm))
 
 
-def _end(task: asyncio.Task[None]) -> None:
-    """Cancels a task, or reports the fault that ended it: the next round starts it again."""
+def _end_task(task: asyncio.Task[None]) -> None:
+    """Cancels a task, or logs the exception that ended it; the next round starts it again."""
     if task.cancel() or task.cancelled():
         return
     error = task.exception()
--- a/src/hyssopway/fleet/waves.py
+++ b/src/hyssopway/fleet/waves.py
@@ -20,7 +20,7 @@
 
     WaveStep = AdvanceWave | ControlWave
 
-# Losses in one rack point to a common cause long before `max_lost` is reached in a large fleet.
+# In a large fleet, losses in one rack indicate a common cause long before `max_lost` is reached.
 MAX_LOST_PER_RACK = 1
 
 
@@ -30,9 +30,9 @@
     """Returns the next steps of all waves.
 
     Args:
-        state: Agreed state.
-        now_ms: Agreed time.
-        returned: Pairs of wave and VM that the platform lists as rebooted and returned.
+        state: Replicated state.
+        now_ms: Cluster time in milliseconds.
+        returned: Pairs of wave and VM that the platform reports as rebooted and returned.
     """
     steps: list[WaveStep] = []
     for wave in state.tables.waves.values():
@@ -45,22 +45,22 @@
 def _decide_wave(
     state: ControlState, *, wave: Wave, now_ms: int, returned: Collection[tuple[str, str]]
 ) -> Iterator[WaveStep]:
-    policy = _policy(state)
+    policy = _maintenance_policy(state)
     for name, progress in wave.vms.items():
         vm = state.tables.vms[name]
-        late = now_ms - progress.changed_ms > policy.return_s * 1000
-        back = (wave.wave_id, name) in returned and vm.boot_id != progress.boot_id
+        timed_out = now_ms - progress.changed_ms > policy.return_s * 1000
+        has_returned = (wave.wave_id, name) in returned and vm.boot_id != progress.boot_id
         match progress.status:
             case WaveVmStatus.DRAINING if wave.status is WaveStatus.ABORTED and vm.state is not VmState.DOWN:
-                yield _step(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason=wave.reason)
+                yield _advance(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason=wave.reason)
             case WaveVmStatus.DRAINING if vm.state is VmState.DRAINED:
-                yield _step(wave, vm=vm, status=WaveVmStatus.REBOOTING, reason="empty")
-            case WaveVmStatus.DRAINING if vm.state is VmState.DOWN and late:
-                yield _step(wave, vm=vm, status=WaveVmStatus.LOST, reason="failed during its drain")
-            case WaveVmStatus.REBOOTING if back:
-                yield _step(wave, vm=vm, status=WaveVmStatus.DONE, reason="its worker syncs again")
-            case WaveVmStatus.REBOOTING if late:
-                yield _step(wave, vm=vm, status=WaveVmStatus.LOST, reason="it did not return in time")
+                yield _advance(wave, vm=vm, status=WaveVmStatus.REBOOTING, reason="empty")
+            case WaveVmStatus.DRAINING if vm.state is VmState.DOWN and timed_out:
+                yield _advance(wave, vm=vm, status=WaveVmStatus.LOST, reason="failed during its drain")
+            case WaveVmStatus.REBOOTING if has_returned:
+                yield _advance(wave, vm=vm, status=WaveVmStatus.DONE, reason="its worker syncs again")
+            case WaveVmStatus.REBOOTING if timed_out:
+                yield _advance(wave, vm=vm, status=WaveVmStatus.LOST, reason="did not return in time")
     if wave.status is not WaveStatus.RUNNING:
         return
     problem = find_pause_reason(state, wave=wave)
@@ -68,13 +68,13 @@
         yield _pause(wave, reason=problem)
         return
     for vm in choose_next(state, wave=wave, now_ms=now_ms):
-        yield _step(wave, vm=vm, status=WaveVmStatus.DRAINING, reason="chosen")
-    yield from _skip_rest(state, wave=wave)
+        yield _advance(wave, vm=vm, status=WaveVmStatus.DRAINING, reason="chosen")
+    yield from _skip_blocking_vms(state, wave=wave)
 
 
 def find_pause_reason(state: ControlState, *, wave: Wave) -> str:
-    """Says why a wave must not go on; empty when it may."""
-    policy = _policy(state)
+    """Returns why a wave must be paused; empty when it may continue."""
+    policy = _maintenance_policy(state)
     lost = count_lost(state, wave=wave)
     if lost - wave.lost_accepted >= policy.max_lost:
         return f"{lost} VMs lost; max_lost is {policy.max_lost}"
@@ -91,26 +91,26 @@
 
 
 def _find_failed_canary(state: ControlState, *, wave: Wave, canaries: int) -> str:
-    """Returns a canary that came back and is down or quarantined by now; the platform may call it healthy."""
+    """Returns a canary that returned but is now down or quarantined, even if the platform reports it healthy."""
     done = sorted(wave.select(WaveVmStatus.DONE), key=lambda name: wave.vms[name].changed_ms)
     vms = [state.tables.vms[name] for name in done[:canaries]]
     return next((vm.name for vm in vms if vm.state in (VmState.DOWN, VmState.QUARANTINED)), "")
 
 
-def _skip_rest(state: ControlState, *, wave: Wave) -> Iterator[AdvanceWave]:
-    """Skips VMs that the wave would wait for without end: the last ones when down, and those without a budget."""
+def _skip_blocking_vms(state: ControlState, *, wave: Wave) -> Iterator[AdvanceWave]:
+    """Skips VMs that would block the wave forever: those without a pool budget, and the last ones if down."""
     document = state.document()
     pools = {pool.name for pool in document.pools} if document else set()
     for name in wave.select(WaveVmStatus.WAITING):
         vm = state.tables.vms[name]
         if vm.pool not in pools:
             reason = f"pool {vm.pool} is not in the document"
-            yield _step(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason=reason)
-    left = [state.tables.vms[name] for name in wave.select(*OPEN)]
-    if all(vm.state is VmState.DOWN for vm in left):
-        for vm in left:
+            yield _advance(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason=reason)
+    remaining = [state.tables.vms[name] for name in wave.select(*OPEN)]
+    if all(vm.state is VmState.DOWN for vm in remaining):
+        for vm in remaining:
             if wave.vms[vm.name].status is WaveVmStatus.WAITING:
-                yield _step(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason="down")
+                yield _advance(wave, vm=vm, status=WaveVmStatus.SKIPPED, reason="down")
 
 
 def _replace_lost(state: ControlState, *, wave: Wave) -> Iterator[AdvanceWave]:
@@ -130,7 +130,7 @@
                 reason=f"replaced by {found.name}",
                 replacement=found.name,
             )
-            return  # one permit at a time; the next round sees its effect
+            return  # one permit at a time, so that the next round sees its effect
 
 
 def _choose_spare(state: ControlState, *, lost: Vm, pool: str | None) -> Vm | None:
@@ -141,7 +141,7 @@
     )
 
 
-def _step(wave: Wave, *, vm: Vm, status: WaveVmStatus, reason: str) -> AdvanceWave:
+def _advance(wave: Wave, *, vm: Vm, status: WaveVmStatus, reason: str) -> AdvanceWave:
     return AdvanceWave(wave=wave.wave_id, vm=vm.name, status=status, expected_epoch=vm.epoch, reason=reason)
 
 
@@ -156,7 +156,7 @@
     )
 
 
-def _policy(state: ControlState) -> MaintenancePolicy:
+def _maintenance_policy(state: ControlState) -> MaintenancePolicy:
     document = state.document()
     return document.maintenance if document else MaintenancePolicy()
 
--- a/src/hyssopway/fleet/zone_report.py
+++ b/src/hyssopway/fleet/zone_report.py
@@ -1,4 +1,4 @@
-"""Says what the withdrawal of a zone would do, or how far it is."""
+"""Report on the effects or the progress of a zone withdrawal."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def report_zone(state: ControlState, *, zone: str) -> dict[str, Any]:
-    """Returns what a withdrawal costs; changes nothing."""
+    """Returns the effects of withdrawing a zone, without changing anything."""
     document = state.document()
     known = state.tables.zones[zone]
     vms = [vm for vm in state.tables.vms.values() if vm.zone == zone]
--- a/src/hyssopway/fleet/zone_steps.py
+++ b/src/hyssopway/fleet/zone_steps.py
@@ -1,4 +1,4 @@
-"""Decides how withdrawn zones are emptied and how zones return."""
+"""Decides the next steps of emptying withdrawn zones and of returning zones to service."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hyssopway.control.command import MoveVm, ReturnPermit, SetZone, TakePermit
 from hyssopway.control.record import PermitPurpose, VmState, ZoneStatus
 
-from .holders import holder_of, is_away
+from .holders import is_temporarily_moved, withdrawal_holder
 
 if TYPE_CHECKING:
     from hyssopway.control import ControlState
@@ -18,20 +18,21 @@
 
     ZoneStep = TakePermit | ReturnPermit | SetZone | MoveVm
 
-# A home sees its workers' load within one sync of 0.5 s; ten of them let it settle before the next VMs.
+# A home sees the load of its workers within one sync of 0.5 s; ten syncs let the load settle before the next VMs.
 RETURN_STEP_MS = 5_000
 
-# Each look at a budget reads all VMs.
-MAX_TRIES = 8
+# Each budget check reads all VMs.
+MAX_BUDGET_CHECKS = 8
 
 
 def decide_zones(state: ControlState, *, now_ms: int, last_return_ms: dict[str, int]) -> list[ZoneStep]:
     """Returns the next steps of all zones.
 
     Args:
-        state: Agreed state.
-        now_ms: Agreed time.
-        last_return_ms: Time of the last return step by zone; updated here. A new leader may step sooner.
+        state: Replicated state.
+        now_ms: Cluster time in milliseconds.
+        last_return_ms: Cluster time of the last return step by zone; updated by this function. It is not
+            replicated, so a new leader may take the next step sooner.
     """
     steps: list[ZoneStep] = []
     for zone in state.tables.zones.values():
@@ -46,7 +47,7 @@
 
 
 def list_spares(state: ControlState, *, outside: str) -> list[Vm]:
-    """Returns the ready VMs of the spare pool in other zones that take tasks, idle ones first."""
+    """Returns the ready spare VMs in other open zones, idle ones first."""
     document = state.document()
     pools = {pool.name for pool in document.pools if pool.spare} if document else set()
     zones, running = state.tables.zones, state.indexes.running
@@ -57,23 +58,23 @@
         and vm.state is VmState.READY
         and vm.zone != outside
         and zones[vm.zone].status is ZoneStatus.OPEN
-        and not is_away(vm)
+        and not is_temporarily_moved(vm)
     ]
     return sorted(spares, key=lambda vm: (len(running.get(vm.name, ())), vm.name))
 
 
 def count_missing(state: ControlState, *, zone: Zone) -> dict[str, int]:
-    """Returns by pool how many VMs of the zone are not yet made up for from the spare pool."""
+    """Returns by pool how many VMs of the zone are not yet replaced by spare VMs."""
     document = state.document()
     missing = {pool.name: 0 for pool in document.pools if not pool.spare} if document else {}
-    holder = holder_of(zone)
+    holder = withdrawal_holder(zone)
     for vm in state.tables.vms.values():
         if vm.zone == zone.name and vm.pool in missing:
             missing[vm.pool] += 1
         if vm.zone != zone.name and vm.moved_for == holder and vm.pool in missing:
             missing[vm.pool] -= 1
         if vm.zone == zone.name and vm.moved_for == holder and vm.moved_from in missing:
-            # Its pool got a spare VM for it, which is subtracted above.
+            # Its pool got a spare VM in exchange, which is subtracted above.
             missing[vm.moved_from] += 1
     for permit in state.tables.permits.values():
         if permit.holder == holder and permit.target in missing:
@@ -84,38 +85,41 @@
 def _empty_zone(state: ControlState, *, zone: Zone) -> list[ZoneStep]:
     if find_broken(state):
         return []
-    steps: list[ZoneStep] = [*_bring_capacity(state, zone=zone)]
+    steps: list[ZoneStep] = [*_add_spare_capacity(state, zone=zone)]
     chosen: set[str] = set()
-    for vm in sorted(_usable_in(state, zone=zone), key=lambda vm: _urgency(state, vm=vm)):
+    for vm in sorted(_usable_in(state, zone=zone), key=lambda vm: _drain_priority(state, vm=vm)):
         if vm.pool in chosen:
             continue
-        # Only the whole budget of a pool limits a withdrawal, so a refusal holds for all its VMs.
+        # A withdrawal is limited only by the budget of the pool as a whole, so a refusal applies to all its VMs.
         chosen.add(vm.pool)
         if not find_excess(state, vm=vm, purpose=PermitPurpose.WITHDRAWAL):
-            steps.append(_permit(zone, vm=vm, purpose=PermitPurpose.WITHDRAWAL))
+            steps.append(_take_permit(zone, vm=vm, purpose=PermitPurpose.WITHDRAWAL))
         else:
-            steps += _swap_out(state, zone=zone, pool=vm.pool)
+            steps += _swap_for_spare(state, zone=zone, pool=vm.pool)
     return steps
 
 
-def _swap_out(state: ControlState, *, zone: Zone, pool: str) -> list[MoveVm]:
-    """Moves a drained VM to the spare pool for a spare VM that its pool got, so that the next can stop."""
-    spare, holder = _spare_pool(state), holder_of(zone)
+def _swap_for_spare(state: ControlState, *, zone: Zone, pool: str) -> list[MoveVm]:
+    """Moves a drained VM to the spare pool in exchange for a spare VM that its pool got.
+
+    This frees the budget of its pool for the next VM to drain.
+    """
+    spare, holder = _spare_pool(state), withdrawal_holder(zone)
     vms = [vm for vm in state.tables.vms.values() if vm.moved_for == holder]
     borrowed = sum(vm.zone != zone.name and vm.pool == pool and vm.state is VmState.READY for vm in vms)
     swapped = sum(vm.zone == zone.name and vm.moved_from == pool for vm in vms)
     if not spare or pool == spare or swapped >= borrowed:
         return []
-    # The spare pool's own VMs of the zone need its budget too; a swap must not keep one of them running.
+    # The spare pool's own VMs in the zone need its budget too; a swap must not prevent them from draining.
     left = Counter(vm.pool for vm in _usable_in(state, zone=zone))[spare]
     for permit in state.tables.permits.values():
         vm = state.tables.vms[permit.vm]
         is_own = (permit.holder, permit.purpose) == (holder, PermitPurpose.WITHDRAWAL)
-        if not is_own or (vm.pool, vm.state) != (pool, VmState.DRAINED) or is_away(vm):
+        if not is_own or (vm.pool, vm.state) != (pool, VmState.DRAINED) or is_temporarily_moved(vm):
             continue
         moved = replace(vm, pool=spare)
         if not left and not find_excess(state, vm=moved, purpose=PermitPurpose.WITHDRAWAL):
-            reason = f"{holder}; a spare VM took its place"
+            reason = f"{holder}; a spare VM replaces it"
             return [MoveVm(vm=vm.name, target=spare, expected_epoch=vm.epoch, reason=reason)]
     return []
 
@@ -130,28 +134,28 @@
     return next((pool.name for pool in document.pools if pool.spare), "") if document else ""
 
 
-def _bring_capacity(state: ControlState, *, zone: Zone) -> list[TakePermit]:
-    """Moves one spare VM at a time to the pool that misses most."""
+def _add_spare_capacity(state: ControlState, *, zone: Zone) -> list[TakePermit]:
+    """Moves one spare VM at a time to the pool that lacks the most VMs."""
     missing = count_missing(state, zone=zone)
     if not missing:
         return []
     pool = max(missing, key=lambda name: (missing[name], name))
-    for vm in list_spares(state, outside=zone.name)[:MAX_TRIES]:
+    for vm in list_spares(state, outside=zone.name)[:MAX_BUDGET_CHECKS]:
         if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
-            return [_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=pool)]
+            return [_take_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=pool)]
     return []
 
 
-def _urgency(state: ControlState, *, vm: Vm) -> tuple[bool, float, str]:
-    """Orders VMs: urgent work first, then the most invested run time."""
+def _drain_priority(state: ControlState, *, vm: Vm) -> tuple[bool, float, str]:
+    """Returns the sort key of VMs: those with urgent jobs first, then by the longest total run time so far."""
     jobs = [state.tables.jobs[job_id] for job_id in state.indexes.running.get(vm.name, ())]
     invested_ms = sum(state.tables.now_ms - job.run.started_ms for job in jobs if job.run)
     return not any(job.spec.urgent for job in jobs), -invested_ms, vm.name
 
 
 def _return_zone(state: ControlState, *, zone: Zone) -> list[ZoneStep]:
-    """Returns at most one VM for each pool, then opens the zone, then sends borrowed VMs back."""
-    holder = holder_of(zone)
+    """Returns at most one VM of each pool to service, then opens the zone, then moves borrowed VMs back."""
+    holder = withdrawal_holder(zone)
     steps: dict[str, ZoneStep] = {}
     own = [permit for permit in state.tables.permits.values() if permit.holder == holder]
     for permit in own:
@@ -163,29 +167,29 @@
     if steps:
         return list(steps.values())
     if zone.status is ZoneStatus.RETURNING:
-        return [_open(zone)]
-    return [*_send_back(state, zone=zone)]
+        return [_open_zone(zone)]
+    return [*_return_moved_vm(state, zone=zone)]
 
 
-def _send_back(state: ControlState, *, zone: Zone) -> list[TakePermit]:
-    """Sends one moved VM back to its pool; those of the zone first, since their pools lack them."""
-    document, vms, holder = state.document(), state.tables.vms.values(), holder_of(zone)
+def _return_moved_vm(state: ControlState, *, zone: Zone) -> list[TakePermit]:
+    """Moves one VM back to its pool, VMs of this zone first because their pools lack them."""
+    document, vms, holder = state.document(), state.tables.vms.values(), withdrawal_holder(zone)
     moved = [vm for vm in vms if vm.moved_for == holder and vm.moved_from and vm.state is VmState.READY]
     moved = [vm for vm in moved if document and document.pool(name=vm.moved_from)]
     moved.sort(key=lambda vm: vm.zone != zone.name)
-    for vm in moved[:MAX_TRIES]:
+    for vm in moved[:MAX_BUDGET_CHECKS]:
         if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
-            return [_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=vm.moved_from)]
+            return [_take_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=vm.moved_from)]
     return []
 
 
-def _permit(zone: Zone, *, vm: Vm, purpose: PermitPurpose, target: str = "") -> TakePermit:
+def _take_permit(zone: Zone, *, vm: Vm, purpose: PermitPurpose, target: str = "") -> TakePermit:
     return TakePermit(
-        vm=vm.name, purpose=purpose, holder=holder_of(zone), expected_epoch=vm.epoch, target=target
+        vm=vm.name, purpose=purpose, holder=withdrawal_holder(zone), expected_epoch=vm.epoch, target=target
     )
 
 
-def _open(zone: Zone) -> SetZone:
+def _open_zone(zone: Zone) -> SetZone:
     return SetZone(
         request_id=f"{zone.name}-{zone.epoch}-open",
         operator="leader",
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the leader about liveness, moves and drains."""
+"""Tests of the leader's decisions about moves and overdue drains."""
 
 from __future__ import annotations
 
@@ -22,34 +22,33 @@
     return AgreedStandIn.prepare_example("pantry")
 
 
-def operate(agreed, kind, **fields):
+def apply_operator_command(agreed, kind, **fields):
     outcome = agreed.apply(
         kind(vm=VM, expected_epoch=agreed.vm(VM).epoch, request_id=kind.__name__, operator="kim", **fields)
     )
     assert outcome.failure is None
 
 
-def change(agreed, *states):
+def change_state(agreed, *states):
     for state in states:
         agreed.apply(ChangeVm(vm=VM, state=state, expected_epoch=agreed.vm(VM).epoch, reason="test"))
 
 
-# States that the VM went through, whether it is under a permit, its silence, and the next state.
 def test_move_is_made_once_the_vm_is_empty(agreed):
-    """Guards against a move that a new leader forgets."""
-    operate(agreed, RequestMove, target="pickup")
+    """Guards against a requested move that is never made, for example after a change of the leader."""
+    apply_operator_command(agreed, RequestMove, target="pickup")
     assert not decide_moves(agreed.state)
-    change(agreed, VmState.DRAINED)
+    change_state(agreed, VmState.DRAINED)
     (move,) = decide_moves(agreed.state)
     agreed.apply(move)
     assert (agreed.vm(VM).pool, agreed.vm(VM).state) == ("pickup", VmState.READY)
     assert not decide_moves(agreed.state)
 
 
-def test_move_to_a_dropped_pool_is_taken_back(agreed):
+def test_move_to_a_removed_pool_is_cancelled(agreed):
     """Guards against a VM that stays drained because its new pool no longer exists."""
-    operate(agreed, RequestMove, target="pickup")
-    change(agreed, VmState.DRAINED)
+    apply_operator_command(agreed, RequestMove, target="pickup")
+    change_state(agreed, VmState.DRAINED)
     data = agreed.data
     data["pools"] = [pool for pool in data["pools"] if pool["name"] != "pickup"]
     data["services"] = [service for service in data["services"] if service["pool"] != "pickup"]
@@ -67,24 +66,24 @@
         (601_000, (VmState.DRAINED,), False),
     ],
 )
-def test_drain_that_does_not_end_is_found(agreed, after_ms, states, overdue):
-    """Guards against a drain that blocks its budget without anybody knowing."""
-    operate(agreed, DrainVm)
-    change(agreed, *states)
+def test_overdue_drain_is_found(agreed, after_ms, states, overdue):
+    """Guards against a stuck drain that uses up a budget without being reported."""
+    apply_operator_command(agreed, DrainVm)
+    change_state(agreed, *states)
     assert [permit.vm for permit in find_overdue_drains(agreed.state, now_ms=after_ms)] == [VM] * overdue
 
 
-async def test_question_about_a_drain_is_asked_once_over_two_leaders(agreed):
-    """Guards against a new leader that asks again, and against silence after the operator waited on."""
+async def test_question_about_a_drain_is_asked_once_across_two_leaders(agreed):
+    """Guards against a new leader that repeats a question, and a second timeout that goes unreported."""
     lines = []
     sink = logger.add(lines.append, level="WARNING")
-    operate(agreed, DrainVm)
+    apply_operator_command(agreed, DrainVm)
     agreed.now_ms = 601_000
     leaders = [make_controller(agreed) for _ in range(2)]
     for leader in [leaders[0], leaders[0], leaders[1], leaders[1]]:
         await leader.control_once()
     assert len(lines) == 1
-    operate(agreed, DecideDrain, decision=DrainDecision.WAIT)
+    apply_operator_command(agreed, DecideDrain, decision=DrainDecision.WAIT)
     await leaders[1].control_once()
     assert len(lines) == 1
     agreed.now_ms += 601_000
--- a/tests/fleet/test_lending.py
+++ b/tests/fleet/test_lending.py
@@ -1,4 +1,4 @@
-"""Lending of spare VMs, driven with a fake clock."""
+"""Tests of lending spare VMs, with a fake clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from hyssopway.control.command import SetZone
 from hyssopway.control.record import VmState, ZoneStatus
 from hyssopway.fleet.demand import Demand, count_waiting_cores
-from hyssopway.fleet.lending import decide_lending, required_spare
+from hyssopway.fleet.lending import decide_lending, required_spare_vms
 from hyssopway_standins.agreed import AgreedStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 from states import prepare
@@ -21,7 +21,7 @@
 
 
 def run(driver, *, rounds, waiting, demand):
-    """Runs rounds with a demand in cores and returns the moves asked for."""
+    """Runs rounds with a constant demand in cores by pool and returns the requested moves."""
     moves = []
     for _ in range(rounds):
         demand.add_sample(waiting=waiting, now=driver.agreed.now_ms / 1000)
@@ -32,23 +32,23 @@
     return moves
 
 
-def size(driver, pool):
+def pool_size(driver, pool):
     return sum(vm.pool == pool for vm in driver.agreed.state.tables.vms.values())
 
 
-def test_spare_vms_are_lent_and_go_back(driver):
-    """Guards against a pool that stays short while spare VMs idle, and against loans without end."""
+def test_spare_vms_are_lent_and_returned(driver):
+    """Guards against a pool that lacks capacity while spare VMs idle, and spare VMs that are never returned."""
     demand = Demand()
     moves = run(driver, rounds=40, waiting={"pickup": 256.0}, demand=demand)
     assert {target for _, target in moves} == {"pickup"}
     zones = Counter(vm.zone for vm in driver.agreed.state.tables.vms.values() if vm.pool == "pickup")
     assert max(zones.values()) - min(zones.values()) <= 1
     run(driver, rounds=120, waiting={}, demand=demand)
-    assert (size(driver, "pickup"), size(driver, "back-office")) == (8, 8)
+    assert (pool_size(driver, "pickup"), pool_size(driver, "back-office")) == (8, 8)
 
 
-def test_demand_around_one_value_moves_nothing_to_and_fro(driver):
-    """Guards against VMs that change pools with every peak."""
+def test_fluctuating_demand_does_not_move_vms_back_and_forth(driver):
+    """Guards against VMs that are moved back and forth when demand fluctuates around the threshold."""
     demand, moves = Demand(), []
     for number in range(60):
         waiting = {"pickup": 80.0 if number % 2 else 16.0}
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("reserved", ["wave", "zone", "failures"])
 def test_nothing_is_lent_while_the_spare_vms_are_reserved(driver, reserved):
-    """Guards against loans that a wave, a withdrawal or a failure needs back at once."""
+    """Guards against lending spare VMs that a wave, a withdrawal or failures need at once."""
     match reserved:
         case "wave":
             driver.start()
@@ -80,21 +80,21 @@
     ],
 )
 def test_buffer_of_the_policy_is_not_lent(driver, policy, kept):
-    """Guards against spare VMs that are gone when the loss comes that they are for."""
+    """Guards against lending the spare VMs that are reserved for the loss of a rack or zone."""
     driver.agreed.change_document(driver.agreed.data | {"buffer": policy})
     document = driver.agreed.state.document()
     if kept:
-        assert required_spare(driver.agreed.state, document=document, spare="back-office") == kept
+        assert required_spare_vms(driver.agreed.state, document=document, spare="back-office") == kept
     run(driver, rounds=200, waiting={"pickup": 5000.0}, demand=Demand())
-    assert size(driver, "back-office") == kept
+    assert pool_size(driver, "back-office") == kept
 
 
 @pytest.mark.parametrize(
     ("team", "started", "accepted", "cores"),
     [("red", 0, 2, 8), ("red", 0, 9, 12), ("red", 2, 5, 4), ("red", 3, 5, 0), ("blue", 3, 9, 24)],
 )
-def test_jobs_that_a_limit_holds_back_are_no_demand(team, started, accepted, cores):
-    """Guards against VMs that are moved for jobs which their team's limit of 3 tasks keeps waiting."""
+def test_jobs_blocked_by_a_limit_are_no_demand(team, started, accepted, cores):
+    """Guards against lending VMs for jobs that stay pending anyway because of their team's limit of 3 tasks."""
     submitter = prepare()
     submitter.register("vm-1")
     for number in range(accepted):
@@ -104,8 +104,8 @@
     assert count_waiting_cores(submitter.state) == ({"p": cores} if cores else {})
 
 
-def test_jobs_of_a_dropped_team_are_no_demand():
-    """Guards against VMs that are lent for jobs of a team that a newer document dropped."""
+def test_jobs_of_a_removed_team_are_no_demand():
+    """Guards against lending VMs for jobs of a team that a newer document removed."""
     submitter = prepare()
     submitter.accept("job-1", team="red")
     submitter.state.document().teams.clear()
--- a/tests/fleet/test_rebooter.py
+++ b/tests/fleet/test_rebooter.py
@@ -1,4 +1,4 @@
-"""Reboots by a platform client that fails in ways that are not results."""
+"""Tests of reboots when the platform client raises an unexpected exception."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def rebooting():
-    """A wave whose first VM waits for the platform."""
+    """State of a wave whose first VM is being rebooted by the platform."""
     driver = WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"), never_return={"pickup-vm-1"})
     wave = driver.start("pickup")
     while not wave.count(WaveVmStatus.REBOOTING):
@@ -30,8 +30,8 @@
     return driver.agreed.state
 
 
-async def test_fault_of_a_reboot_is_logged_and_tried_again(rebooting):
-    """Guards against a wave that waits without a word, because the task of its reboot fails each time."""
+async def test_exception_in_a_reboot_is_logged_and_the_reboot_retried(rebooting):
+    """Guards against a wave that stalls without a log line because its reboot task raises each time."""
     lines = []
     sink = logger.add(lines.append, level="ERROR")
     rebooter = Rebooter(platform=BrokenClient())
--- a/tests/fleet/test_vm_request_counter.py
+++ b/tests/fleet/test_vm_request_counter.py
@@ -1,4 +1,4 @@
-"""When a VM counts as free of requests."""
+"""Tests of counting the requests in progress on a VM."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from hyssopway.control.record import VmState
 from hyssopway.fleet import VmRequestCounter
-from hyssopway.fleet.vm_request_counter import LAST_START_S, LEFT_S
+from hyssopway.fleet.vm_request_counter import MAX_SEND_AFTER_CONTACT_S, REPORT_TRUSTED_AFTER_S
 from hyssopway.peer import PeerUnreachableError
 from hyssopway_standins.fleet import EXAMPLES
 
@@ -20,7 +20,7 @@
 
 
 class Peers:
-    """Answers by daemon; None is silence."""
+    """Fake peers with a fixed answer by daemon; None for a daemon that does not answer."""
 
     def __init__(self) -> None:
         self.answers: dict[str, dict[str, Any] | None] = {"a": FREE, "b": FREE}
@@ -35,7 +35,7 @@
 
 
 @pytest.fixture
-def world():
+def harness():
     time = SimpleNamespace(now=1000.0)
     tables = SimpleNamespace(
         vms={"vm": SimpleNamespace(state=VmState.DRAINING, epoch=1)},
@@ -62,87 +62,87 @@
     ],
     ids=["free", "request in progress", "credit out", "replica behind", "silent"],
 )
-async def test_every_entry_must_be_free(world, answer, expected):
-    """Guards against a VM reported as drained while an entry has or may start a request there."""
-    world.peers.answers["b"] = answer
-    assert await world.requests.count("vm") == expected
+async def test_count_is_known_only_when_every_entry_answers(harness, answer, expected):
+    """Guards against a VM reported as drained while an entry has, or may still send, a request to it."""
+    harness.peers.answers["b"] = answer
+    assert await harness.requests.count("vm") == expected
 
 
 @pytest.mark.parametrize("long", ["no", "in force", "earlier"])
-async def test_silent_entry_blocks_until_its_longest_deadline(world, long):
-    """Guards against cutting a long request off, and against drains that a dead entry blocks for ever."""
+async def test_silent_entry_blocks_a_drain_until_the_longest_deadline(harness, long):
+    """Guards against cutting off a long request, and against drains that a dead entry blocks forever."""
     limit_s = 60.0 if long == "no" else 300.0
     if long == "in force":
-        world.tables.documents["production"].text = LONG
+        harness.tables.documents["production"].text = LONG
     elif long == "earlier":
-        world.tables.history.append(SimpleNamespace(digest="old", text=LONG))
-    assert await world.requests.count("vm") == 0
-    world.peers.answers["b"] = None
-    world.time.now += limit_s + LAST_START_S - 0.1
-    assert await world.requests.count("vm") is None
-    world.time.now += 0.2
-    assert await world.requests.count("vm") == 0
+        harness.tables.history.append(SimpleNamespace(digest="old", text=LONG))
+    assert await harness.requests.count("vm") == 0
+    harness.peers.answers["b"] = None
+    harness.time.now += limit_s + MAX_SEND_AFTER_CONTACT_S - 0.1
+    assert await harness.requests.count("vm") is None
+    harness.time.now += 0.2
+    assert await harness.requests.count("vm") == 0
 
 
 @pytest.mark.parametrize("heard_by", ["this daemon", "another daemon"])
-async def test_silence_counts_from_the_last_contact(world, heard_by):
-    """Guards against an earlier silence, or one towards this daemon alone, taken for the present one."""
-    world.peers.answers["b"] = None
-    assert await world.requests.count("vm") is None
-    world.time.now += 500.0
+async def test_silence_counts_from_the_last_contact(harness, heard_by):
+    """Guards against measuring silence from too early: an entry may have been in contact since, also with others."""
+    harness.peers.answers["b"] = None
+    assert await harness.requests.count("vm") is None
+    harness.time.now += 500.0
     if heard_by == "this daemon":
-        world.others["b"].heard_at = world.time.now - 10.0
+        harness.others["b"].heard_at = harness.time.now - 10.0
     else:
-        world.peers.answers["a"] = FREE | {"heard": {"b": 10.0, "unknown": 1.0}}
-    assert await world.requests.count("vm") is None
-    world.time.now += 60.0 + LAST_START_S
-    world.peers.answers["a"] = FREE
-    assert await world.requests.count("vm") == 0
-
-
-async def test_stopped_entry_blocks_no_drain_until_it_is_heard_again(world):
-    """Guards against drains that wait for a planned stop, and a stop that counts after a new start."""
-    world.requests.record_stop("b")
-    world.peers.answers["b"] = None
-    assert await world.requests.count("vm") == 0
-    world.time.now += 10.0
-    world.others["b"].heard_at = world.time.now
-    assert await world.requests.count("vm") is None
-
-
-async def test_count_of_a_vm_ends_the_wait_for_a_dead_entry(world):
-    """Guards against a drain that waits a whole deadline for requests that the VM does not have."""
-    assert await world.requests.count("vm", 0) == 0
-    world.peers.answers["b"] = None
-    world.time.now += LEFT_S - 0.1
-    assert await world.requests.count("vm", 0) is None
-    world.time.now += 0.2
-    assert await world.requests.count("vm", 1) == 1
-    assert await world.requests.count("vm", 0) == 0
-
-
-async def test_count_of_a_vm_says_nothing_before_its_endpoints_left(world):
-    """Guards against a silent entry that sends a request to an endpoint which came back."""
-    world.peers.answers["b"] = None
-    assert await world.requests.count("vm", 0) is None
-    world.time.now += LEFT_S + 0.1
-    assert await world.requests.count("vm", None) is None
-    assert await world.requests.count("vm", 0) is None
-
-
-async def test_count_of_a_vm_does_not_replace_an_entry_that_answers(world):
-    """Guards against an entry with an old state whose credits the VM cannot see."""
-    world.peers.answers["b"] = FREE | {"stopping": False}
-    assert await world.requests.count("vm", 0) is None
-    world.time.now += LEFT_S + 0.1
-    assert await world.requests.count("vm", 0) is None
-
-
-async def test_count_of_an_earlier_drain_says_nothing_of_the_present_one(world):
-    """Guards against a VM that worked in between: its endpoints left a moment ago, not at the first drain."""
-    world.peers.answers["b"] = None
-    assert await world.requests.count("vm", 0) is None
-    world.time.now += LEFT_S + 0.1
-    assert await world.requests.count("vm", 0) == 0
-    world.tables.vms["vm"].epoch += 2
-    assert await world.requests.count("vm", 0) is None
+        harness.peers.answers["a"] = FREE | {"heard": {"b": 10.0, "unknown": 1.0}}
+    assert await harness.requests.count("vm") is None
+    harness.time.now += 60.0 + MAX_SEND_AFTER_CONTACT_S
+    harness.peers.answers["a"] = FREE
+    assert await harness.requests.count("vm") == 0
+
+
+async def test_stopped_entry_blocks_no_drain_until_its_next_contact(harness):
+    """Guards against drains that wait for a stopped entry, and an announced stop that still counts after a restart."""
+    harness.requests.record_stop("b")
+    harness.peers.answers["b"] = None
+    assert await harness.requests.count("vm") == 0
+    harness.time.now += 10.0
+    harness.others["b"].heard_at = harness.time.now
+    assert await harness.requests.count("vm") is None
+
+
+async def test_count_of_a_vm_ends_the_wait_for_a_dead_entry(harness):
+    """Guards against a drain that waits for the longest deadline although the VM itself counts no request."""
+    assert await harness.requests.count("vm", 0) == 0
+    harness.peers.answers["b"] = None
+    harness.time.now += REPORT_TRUSTED_AFTER_S - 0.1
+    assert await harness.requests.count("vm", 0) is None
+    harness.time.now += 0.2
+    assert await harness.requests.count("vm", 1) == 1
+    assert await harness.requests.count("vm", 0) == 0
+
+
+async def test_count_of_a_vm_is_ignored_before_its_endpoints_left(harness):
+    """Guards against trusting the count of a VM whose endpoints are back and may receive new requests."""
+    harness.peers.answers["b"] = None
+    assert await harness.requests.count("vm", 0) is None
+    harness.time.now += REPORT_TRUSTED_AFTER_S + 0.1
+    assert await harness.requests.count("vm", None) is None
+    assert await harness.requests.count("vm", 0) is None
+
+
+async def test_count_of_a_vm_does_not_replace_an_entry_that_answers(harness):
+    """Guards against an entry whose replica lags behind and that may still grant credits for the VM."""
+    harness.peers.answers["b"] = FREE | {"stopping": False}
+    assert await harness.requests.count("vm", 0) is None
+    harness.time.now += REPORT_TRUSTED_AFTER_S + 0.1
+    assert await harness.requests.count("vm", 0) is None
+
+
+async def test_count_of_an_earlier_drain_is_ignored(harness):
+    """Guards against a VM that was back in service in between, so that its endpoints left only just now."""
+    harness.peers.answers["b"] = None
+    assert await harness.requests.count("vm", 0) is None
+    harness.time.now += REPORT_TRUSTED_AFTER_S + 0.1
+    assert await harness.requests.count("vm", 0) == 0
+    harness.tables.vms["vm"].epoch += 2
+    assert await harness.requests.count("vm", 0) is None
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -1,4 +1,4 @@
-"""Maintenance waves, driven with a fake clock."""
+"""Tests of maintenance waves, with a fake clock."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"))
 
 
-def control(driver, wave, action, operator="kim", request_id="c"):
+def control_wave(driver, wave, action, operator="kim", request_id="c"):
     command = ControlWave(
         wave=wave.wave_id,
         action=action,
@@ -31,13 +31,13 @@
     return driver.agreed.apply(command).failure
 
 
-def tell(wave):
+def statuses(wave):
     return {name: vm.status for name, vm in wave.vms.items()}
 
 
 @pytest.mark.parametrize("deployment", ["pantry", "association"])
 def test_wave_reboots_each_vm_once_within_budgets(deployment):
-    """Guards against a VM that is rebooted twice or left out, and against exceeded budgets."""
+    """Guards against VMs that are rebooted twice or not at all, and against exceeded budgets."""
     driver = WaveDriver(agreed=AgreedStandIn.prepare_example(deployment))
     wave = driver.start()
     driver.run(wave)
@@ -49,8 +49,8 @@
     assert {vm.state for vm in driver.agreed.state.tables.vms.values()} == {VmState.READY}
 
 
-def test_canary_goes_first_and_alone(driver):
-    """Guards against a bad change that meets several VMs before the first one is back."""
+def test_canary_is_rebooted_first_and_alone(driver):
+    """Guards against a bad change that affects several VMs before the first one has returned."""
     wave = driver.start()
     while not wave.count(WaveVmStatus.DONE):
         driver.run_round()
@@ -58,7 +58,7 @@
 
 
 def test_new_leader_continues_from_a_snapshot(driver):
-    """Guards against a new leader that does a VM twice or leaves one drained."""
+    """Guards against a new leader that reboots a VM twice or leaves one drained."""
     wave = driver.start()
     for _ in range(3000):
         if wave.status is not WaveStatus.RUNNING:
@@ -73,7 +73,7 @@
 
 
 def test_steps_of_two_leaders_are_applied_once(driver):
-    """Guards against an older leader whose steps arrive after those of the new one."""
+    """Guards against applying the steps of a former leader after the same steps of the new one."""
     driver.start()
     steps = decide_waves(driver.agreed.state, now_ms=5000, returned=())
     assert [driver.agreed.apply(step).failure for step in steps] == [None]
@@ -81,7 +81,7 @@
     assert codes == [ResultCode.WAVE_CONFLICT]
 
 
-# VMs that do not return, the status of the wave then, and a part of the reason.
+# VMs that do not return, the expected status of the wave, and a part of its reason.
 LOSSES = {
     "canary": (["restock-vm-1", "back-office-vm-1"], WaveStatus.PAUSED, "a canary was lost"),
     "one": (["pickup-vm-1"], WaveStatus.DONE, "every VM"),
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("case", LOSSES)
 def test_losses_pause_the_wave_and_are_replaced(driver, case):
-    """Guards against a wave that goes on while it destroys VMs."""
+    """Guards against a wave that continues although its reboots lose VMs."""
     lost, status, reason = LOSSES[case]
     driver.never_return = set(lost)
     wave = driver.start()
@@ -103,31 +103,31 @@
     replaced = list(wave.select(WaveVmStatus.REPLACED))
     pools = [vm.pool for vm in driver.agreed.state.tables.vms.values() if vm.state is VmState.READY]
     assert all(pools.count(driver.agreed.vm(name).pool) == 8 for name in replaced)
-    assert len(replaced) == sum(not name.startswith("back") for name in tell_lost(wave))
+    assert len(replaced) == sum(not name.startswith("back") for name in list_lost(wave))
 
 
-def tell_lost(wave):
+def list_lost(wave):
     return list(wave.select(WaveVmStatus.LOST, WaveVmStatus.REPLACED))
 
 
 def test_pause_resume_and_abort_leave_no_vm_stopped(driver):
-    """Guards against VMs that stay drained after an abort, and against starts while paused."""
+    """Guards against VMs that stay drained after an abort, and against drains that start while paused."""
     wave = driver.start()
     while wave.count(WaveVmStatus.DONE) < 3:
         driver.run_round()
-    assert control(driver, wave, WaveAction.PAUSE) is None
+    assert control_wave(driver, wave, WaveAction.PAUSE) is None
     for _ in range(40):
         driver.run_round()
     assert not driver.agreed.state.tables.permits
     done = wave.count(WaveVmStatus.DONE)
-    assert control(driver, wave, WaveAction.RESUME) is None
+    assert control_wave(driver, wave, WaveAction.RESUME) is None
     driver.run_round()
     assert driver.agreed.state.tables.permits
-    assert control(driver, wave, WaveAction.ABORT) is None
+    assert control_wave(driver, wave, WaveAction.ABORT) is None
     for _ in range(40):
         driver.run_round()
     assert not driver.agreed.state.tables.permits
-    assert set(tell(wave).values()) == {WaveVmStatus.DONE, WaveVmStatus.SKIPPED}
+    assert set(statuses(wave).values()) == {WaveVmStatus.DONE, WaveVmStatus.SKIPPED}
     assert wave.count(WaveVmStatus.DONE) == done
 
 
@@ -137,14 +137,14 @@
     stale = ControlWave(
         wave=wave.wave_id, action=WaveAction.PAUSE, expected_epoch=1, operator="lee", request_id="x"
     )
-    assert control(driver, wave, WaveAction.ABORT) is None
+    assert control_wave(driver, wave, WaveAction.ABORT) is None
     assert driver.agreed.apply(stale).failure.code is ResultCode.GENERATION_CONFLICT
     second = StartWave(request_id="second", operator="lee")
     assert driver.agreed.apply(second).failure is None
 
 
 def test_withdrawal_during_a_wave_leaves_its_zone_for_later(driver):
-    """Guards against a wave that uses up the budget that a withdrawal needs."""
+    """Guards against a wave that uses the budget which a withdrawal needs."""
     wave = driver.start()
     zone = SetZone(zone="Nashua", status=ZoneStatus.WITHDRAWN, request_id="z", operator="kim")
     driver.agreed.apply(zone)
@@ -160,7 +160,7 @@
 
 
 def test_lost_vm_takes_no_work_until_its_reboot_is_over(driver):
-    """Guards against tasks that a late reboot of the platform cuts off."""
+    """Guards against tasks that are cut off when the platform reboots a lost VM late."""
     driver.never_return = {"back-office-vm-1"}
     wave = driver.start()
     driver.run(wave)
@@ -172,7 +172,7 @@
 
 
 def test_forecast_follows_the_pace(driver):
-    """Guards against a forecast that is far from the end of an even wave."""
+    """Guards against a forecast that deviates by 30 % or more from the end of a wave with a steady pace."""
     wave = driver.start()
     assert forecast_end_ms(wave, now_ms=0) is None
     while wave.count(WaveVmStatus.DONE) < 20:
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize(("period_s", "late"), [(4000, False), (300, True)])
 def test_lateness_follows_the_document_in_force(driver, period_s, late):
-    """Guards against a wave that misses its deadline without a word, also after a document changed it."""
+    """Guards against a missed deadline that goes unreported, also after a document changed the deadline."""
     wave = driver.start()
     for _ in range(20):
         driver.run_round()
@@ -209,12 +209,12 @@
 
 @pytest.mark.parametrize("case", ["lower budget", "dropped pool"])
 def test_document_that_changes_during_a_wave(driver, case):
-    """Guards against stops by a budget that is no longer in force, and against a wave without an end."""
+    """Guards against drains under a budget that is no longer active, and against a wave that never ends."""
     wave = driver.start()
     for _ in range(20):
         driver.run_round()
     driver.agreed.change_document(change_pools(driver.agreed.data, case))
-    # The stops from before end first: a drain of 20 s and a reboot of 60 s are 16 rounds.
+    # Stops that began before the change end first: a drain of 20 s and a reboot of 60 s take 16 rounds.
     for _ in range(20):
         driver.run_round()
     driver.most_down.clear()
@@ -229,7 +229,7 @@
 
 
 def test_step_for_an_unknown_vm_or_wave_is_refused(driver):
-    """Guards against steps that name what does not exist."""
+    """Guards against applying steps that name an unknown wave or VM."""
     wave = driver.start("pickup")
     for name, vm, code in [
         ("wave-0", "pickup-vm-1", ResultCode.UNKNOWN_WAVE),
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -1,4 +1,4 @@
-"""Withdrawal and return of zones, driven with a fake clock."""
+"""Tests of the withdrawal and return of zones, with a fake clock."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def run(driver, rounds=60, last_return_ms=None):
-    """Runs zones and moves, and checks budgets and pools in each round."""
+    """Runs rounds, checks the budgets in each, and returns the number of returned permits by round."""
     last_return_ms = {} if last_return_ms is None else last_return_ms
     document = driver.agreed.state.document()
     returned = []
@@ -55,8 +55,8 @@
     return {vm.state for vm in vms if vm.zone == zone}
 
 
-def test_zone_is_emptied_within_budgets_and_everything_goes_back(driver):
-    """Guards against a withdrawal that takes a pool below its budget or keeps borrowed VMs."""
+def test_zone_is_emptied_within_budgets_and_all_vms_return(driver):
+    """Guards against a withdrawal that exceeds a budget or does not return borrowed VMs."""
     zone, before = zones(driver)[0], pools(driver)
     dry = report_zone(driver.agreed.state, zone=zone)
     assert pools(driver) == before
@@ -67,7 +67,7 @@
         driver.agreed.vm(permit.vm).pool for permit in permits if permit.purpose is PermitPurpose.WITHDRAWAL
     )
     spare = next(pool.name for pool in driver.agreed.state.document().pools if pool.spare)
-    # Moves out of the spare pool use its budget too, so fewer of its VMs may be emptied.
+    # Moves out of the spare pool use its budget too, so fewer of its VMs may be drained.
     assert all(
         emptied[pool["pool"]] == pool["emptied_at_once"] for pool in dry["budgets"] if pool["pool"] != spare
     )
@@ -84,8 +84,8 @@
 
 
 @pytest.mark.parametrize("turns", [1, 2, 5])
-def test_quick_turns_end_as_asked_last(driver, turns):
-    """Guards against VMs that stay drained after a withdrawal that was taken back at once."""
+def test_last_request_wins_after_quick_changes(driver, turns):
+    """Guards against VMs that stay drained after a withdrawal that was cancelled within a few rounds."""
     zone, before = zones(driver)[1], pools(driver)
     for _ in range(turns):
         set_zone(driver, zone, ZoneStatus.WITHDRAWN)
@@ -97,7 +97,7 @@
 
 
 def test_two_zones_share_the_budgets(driver):
-    """Guards against budgets that each withdrawal counts for itself."""
+    """Guards against budgets that are counted separately for each withdrawal."""
     first, second = zones(driver)[:2]
     set_zone(driver, first, ZoneStatus.WITHDRAWN)
     run(driver, rounds=2)
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize(("more", "spare_down", "left"), [(1, 4, 0), (2, 4, 0), (3, 4, 1), (1, 2, 1)])
 def test_drained_vms_are_swapped_for_spare_vms(driver, more, spare_down, left):
-    """Guards against a zone that keeps VMs at work though spare VMs could stand in for them."""
+    """Guards against VMs of a withdrawn zone that stay in service although spare VMs could replace them."""
     zone, data = zones(driver)[0], driver.agreed.data
     pool = data["pools"][0]["name"]
     spare = next(item for item in data["pools"] if item.get("spare"))
@@ -138,7 +138,7 @@
 
 
 def test_withdrawal_during_a_wave(driver):
-    """Guards against a wave that reboots or waits for VMs of a zone that was withdrawn meanwhile."""
+    """Guards against a wave that reboots, or waits for, VMs of a zone that was withdrawn during the wave."""
     zone, before = zones(driver)[0], pools(driver)
     wave = driver.start()
     run(driver, rounds=15)
@@ -156,14 +156,14 @@
 
 
 def test_racing_operators_change_a_zone_once(driver):
-    """Guards against a return that overtakes a withdrawal its operator had not seen."""
+    """Guards against a return by an operator who had not seen the withdrawal."""
     zone = zones(driver)[0]
     assert set_zone(driver, zone, ZoneStatus.WITHDRAWN, epoch=0) is None
     assert set_zone(driver, zone, ZoneStatus.OPEN, epoch=0).code is ResultCode.GENERATION_CONFLICT
 
 
 def test_failures_beyond_a_budget_stop_the_emptying(driver):
-    """Guards against planned stops on top of failures that already exceed a budget."""
+    """Guards against planned stops while failures alone already exceed a budget."""
     zone = zones(driver)[0]
     pool = driver.agreed.state.document().pools[0]
     names = [name for name, in_pool in pools(driver).items() if in_pool == pool.name]
