--- a/src/hyssopway/worker/__init__.py
+++ b/src/hyssopway/worker/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions of workers with their home entry."""
+"""Sessions between workers and their home entry: leases, orders and reports."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/worker/lease_monitor.py
+++ b/src/hyssopway/worker/lease_monitor.py
@@ -1,4 +1,4 @@
-"""Reports workers that fell silent."""
+"""Detects workers whose leases have expired and marks their VMs as down."""
 
 from __future__ import annotations
 
@@ -13,42 +13,44 @@
     from .session import WorkerSession
     from .sessions import WorkerSessions
 
-CHECK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 SUBMIT_TIMEOUT_S = 2.0
 
-# Covers the difference of the clocks' rates and the worker's own delay in stopping its tasks.
+# Covers clock drift and the worker's delay in stopping its tasks.
 LEASE_MARGIN_S = 1.0
 
-# A VM that is drained or rebooting is silent by plan; its permit holder decides about it.
-WATCHED = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
+# A VM that is drained or rebooting is silent as planned; the holder of its permit decides about it.
+MONITORED_STATES = (VmState.READY, VmState.DRAINING, VmState.QUARANTINED)
 
 
 async def monitor_leases(sessions: WorkerSessions) -> None:
-    """Reports silent workers for as long as the daemon runs."""
+    """Reports expired leases periodically for as long as the daemon runs."""
     while True:
         await report_expired_leases(sessions)
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
 
 
 async def report_expired_leases(sessions: WorkerSessions) -> None:
-    """Reports each worker whose every lease granted here has ended."""
+    """Ends the runs of each worker whose leases from this home have all expired, and marks its VM as down."""
     now = sessions.clock()
-    silent = [session for session in sessions.sessions.values() if now > session.lease_until + LEASE_MARGIN_S]
-    await asyncio.gather(*(_report(sessions, session=session) for session in silent))
+    expired = [
+        session for session in sessions.sessions.values() if now > session.lease_until + LEASE_MARGIN_S
+    ]
+    await asyncio.gather(*(_handle_expired_lease(sessions, session=session) for session in expired))
 
 
-async def _report(sessions: WorkerSessions, *, session: WorkerSession) -> None:
+async def _handle_expired_lease(sessions: WorkerSessions, *, session: WorkerSession) -> None:
     vm = sessions.replica.state.tables.vms.get(session.vm)
     if vm is None or vm.home != sessions.own_name:
         sessions.sessions.pop(session.vm, None)
         return
     silent_s = sessions.clock() - session.synced_at
-    runs = sessions.runs_on(vm.name)
+    runs = sessions.jobs_on(vm.name)
     for job in runs:
-        sessions.reports.give_up(
+        sessions.reports.abandon(
             job=job, vm=vm, outcome=RunOutcome.LOST, detail=f"worker silent for {silent_s:.1f} s"
         )
-    if vm.state in WATCHED:
+    if vm.state in MONITORED_STATES:
         command = ChangeVm(
             vm=vm.name,
             state=VmState.DOWN,
--- a/src/hyssopway/worker/messages.py
+++ b/src/hyssopway/worker/messages.py
@@ -1,4 +1,4 @@
-"""Messages between workers and their home entry, as JSON over HTTP."""
+"""Messages between workers and their home entry, sent as JSON over HTTP."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RunningTask:
-    """A task that a worker runs.
+    """Task that is running on a worker.
 
     Attributes:
-        job_id: Job.
+        job_id: ID of the job.
         epoch: Number of the run.
-        usage: What it uses; lags behind.
-        ran_s: Seconds since its start.
+        usage: Latest measured usage.
+        ran_s: Seconds since the task started.
     """
 
     job_id: str
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndedRun:
-    """A run that ended on a worker; repeated until acknowledged.
+    """Run that ended on a worker; reported again until it is acknowledged.
 
     Attributes:
-        job_id: Job.
+        job_id: ID of the job.
         epoch: Number of the run.
-        outcome: How it ended.
+        outcome: How the run ended.
         detail: Message for the submitter.
-        checkpoint: Where the next run continues.
+        checkpoint: Checkpoint from which the next run continues.
     """
 
     job_id: str
@@ -49,21 +49,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SyncRequest:
-    """A worker reports and asks for orders.
+    """Report of a worker that asks its home for orders.
 
     Attributes:
-        zone: Availability zone of its VM.
-        rack: Rack of its VM.
-        pool: Pool that its VM starts in.
-        capacity: What its VM has.
+        zone: Availability zone of the worker's VM.
+        rack: Rack of the VM.
+        pool: Pool in which the VM starts.
+        capacity: Capacity of the VM.
         boot_id: Identity of the worker process.
-        running: Tasks that it runs.
-        ended: Runs that ended and are not acknowledged.
-        number: Counts the syncs of this process; a home drops a request that a later one overtook.
-        wait_s: How long the home may hold the request while it has nothing to order; 0 answers at once.
-        seen_index: Largest `state_index` of the replies; a home behind it knows too little to order.
-        requests: Requests in progress on the endpoints of its VM, once these have left on the order of
-            `leave`; None before, and from a VM that does not count them.
+        running: Running tasks.
+        ended: Ended runs that are not acknowledged yet.
+        number: Sequence number of the sync within the process; a home drops a request that a later one overtook.
+        seen_index: Largest `state_index` of the replies so far; a home whose state is older sends no orders.
+        wait_s: Seconds for which the home may hold the request while it has no orders (long polling); 0 to
+            reply at once.
+        requests: Requests in progress on the endpoints of the VM after these left because of `leave`; None
+            before they left, and from a worker that does not count them.
     """
 
     zone: str
@@ -81,17 +82,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StartOrder:
-    """A task that the worker starts.
+    """Order to start a task.
 
     Attributes:
-        job_id: Job.
+        job_id: ID of the job.
         epoch: Number of the run.
         task_kind: Kind of task.
         arguments: Arguments of the task.
-        resources: What it may use.
-        run_s: Declared run time.
-        checkpoint: Where it continues.
-        start_within_s: The order is void this long after the worker sent its request.
+        resources: Resources that the task may use.
+        run_s: Declared run time in seconds.
+        checkpoint: Checkpoint from which the task continues; empty for a first run.
+        start_within_s: Seconds after the worker sent its request at which the order expires.
     """
 
     job_id: str
@@ -109,14 +110,14 @@
     """Orders for a worker.
 
     Attributes:
-        lease_s: Tasks may run this long after the worker sent its request; 0 ends the lease.
+        lease_s: Seconds after the worker sent its request for which tasks may run; 0 ends the lease.
         start: Tasks to start.
         stop: Jobs whose task is to be stopped.
         checkpoint: Jobs whose task is to be checkpointed and ended.
         throttle: Jobs whose task is to be slowed down.
-        acknowledged: Jobs whose ended run is recorded.
-        leave: Whether the endpoints of its VM are to leave; otherwise they announce themselves.
-        state_index: Index of the agreed state that the orders come from.
+        acknowledged: Jobs whose ended run is recorded in the replicated state.
+        leave: Whether the endpoints of the VM are to leave; otherwise they announce themselves.
+        state_index: Index of the replicated state from which the orders were derived.
     """
 
     lease_s: float
--- a/src/hyssopway/worker/session.py
+++ b/src/hyssopway/worker/session.py
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class WorkerSession:
-    """What a home entry knows of a worker.
+    """State that a home entry keeps about a worker.
 
     Attributes:
         vm: VM of the worker.
-        report: Its last request.
-        handed: Stops, checkpoints and throttles of the last answer.
+        report: Last request of the worker.
+        handed: Stop, checkpoint and throttle orders of the last reply.
         synced_at: Local time of the last request.
-        lease_until: Local time at which every lease granted to it has ended.
+        lease_until: Local time at which every lease granted to the worker has expired.
     """
 
     vm: str
@@ -26,7 +26,7 @@
     handed: tuple[list[str], ...] = field(default_factory=tuple)
 
     def overtakes(self, request: SyncRequest) -> bool:
-        """Tells whether a request is older than the last one of the same worker process."""
+        """Returns whether a request is not newer than the last one of the same worker process."""
         return self.report.boot_id == request.boot_id and 0 < request.number <= self.report.number
 
 
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -1,4 +1,4 @@
-"""Orders, leases and reports of workers."""
+"""Tests of orders, leases and reports in the sessions of workers."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Home:
-    """A home entry with one registered VM and one run placed on it."""
+    """Home entry with one registered VM and one run placed on it."""
 
     def __init__(self) -> None:
         self.submitter = prepare()
@@ -56,7 +56,7 @@
         return await self.sessions.sync(vm="vm", request=SyncRequest(**options))
 
     async def reply(self, **report: Any) -> SyncReply:
-        """Syncs the worker and lets background reports finish."""
+        """Syncs the worker and lets background submissions finish."""
         result = await self.sync(**report)
         assert result.is_ok(), result
         await asyncio.sleep(0.01)
@@ -106,7 +106,7 @@
     ids=["zone withdrawn", "cancelled", "worker restarted", "draining", "authority expired"],
 )
 async def test_run_that_may_not_start_is_not_ordered(home, change, boot_id, status, detail):
-    """Guards against a start from a stale order and against a run that holds its limit for ever."""
+    """Guards against starting an outdated run, and against a run that counts against its limit forever."""
     change(home)
     assert (await home.reply(boot_id=boot_id)).start == []
     assert home.job.status is status
@@ -114,14 +114,14 @@
 
 
 async def test_endpoints_leave_while_their_vm_drains(home):
-    """Guards against a drain that waits for an entry which may still send requests to the VM."""
+    """Guards against a drain that never ends because the VM's endpoints still receive requests."""
     assert not (await home.reply()).leave
     _drain(home)
     assert (await home.reply()).leave
 
 
-async def test_run_not_started_for_long_is_given_up(home):
-    """Guards against a task that starts on a decision of long ago."""
+async def test_run_not_started_in_time_is_abandoned(home):
+    """Guards against a task that starts on an outdated placement."""
     assert [order.job_id for order in (await home.reply()).start] == ["job"]
     home.clock.now += 11
     home.freshness.confirm(at=home.clock.now)
@@ -129,8 +129,8 @@
     assert home.job.status is JobStatus.PENDING
 
 
-async def test_home_behind_the_worker_orders_nothing(home):
-    """Guards against a second run through a new home that has not seen the end of the first."""
+async def test_home_with_older_state_than_the_worker_sends_no_orders(home):
+    """Guards against a second run started by a new home that has not applied the end of the first."""
     stale = Replica()
     home.sessions.replica = stale
     result = await home.sync(seen_index=home.submitter.replica.applied_index)
@@ -138,33 +138,33 @@
 
 
 async def test_overtaken_sync_changes_nothing(home):
-    """Guards against an old report that ends a run which a later answer ordered."""
+    """Guards against an old report that ends a run which a later reply started."""
     await home.reply(number=2)
     _withdraw(home)
     assert (await home.sync(number=1)).error.code is ResultCode.SYNC_OVERTAKEN
     assert home.job.status is JobStatus.RUNNING
 
 
-async def test_frozen_home_cannot_give_up_run_of_next_home(home):
-    """Guards against two live runs after a worker moved to another home."""
+async def test_suspended_home_cannot_abandon_a_run_of_the_next_home(home):
+    """Guards against two live runs of a job after its worker moved to another home."""
     await home.reply()
     home.clock.now += 30
     vm = home.submitter.state.tables.vms["vm"]
-    home.sessions.reports.give_up(job=home.job, vm=vm, outcome=RunOutcome.LOST, detail="silent")
+    home.sessions.reports.abandon(job=home.job, vm=vm, outcome=RunOutcome.LOST, detail="silent")
     home.submitter.register("vm", home="h2")
     await asyncio.sleep(0.01)
     assert home.job.status is JobStatus.RUNNING
 
 
-async def test_report_of_other_vm_or_run_changes_nothing(home):
-    """Guards against the report of an old run that ends the present one."""
+async def test_report_of_another_run_changes_nothing(home):
+    """Guards against the report of another run that ends the current one."""
     ended = EndedRun(job_id="job", epoch=2, outcome=RunOutcome.DONE)
     assert (await home.reply(ended=[ended])).acknowledged == ["job"]
     assert home.job.status is JobStatus.RUNNING
 
 
-async def test_report_is_acknowledged_only_when_agreed_and_does_not_hold_up_the_lease(home):
-    """Guards against lost reports, and against tasks lost in a cut-off zone because a report waits."""
+async def test_report_is_acknowledged_only_when_committed_and_does_not_delay_the_lease(home):
+    """Guards against lost reports, and against a lease that expires in a cut-off zone because a report waits."""
     home.submitter.cut_off = True
     ended = EndedRun(job_id="job", epoch=1, outcome=RunOutcome.DONE)
     reply = await asyncio.wait_for(home.reply(ended=[ended]), 1.0)
@@ -194,7 +194,7 @@
 
 
 async def test_down_vm_under_permit_does_not_take_work_again(home):
-    """Guards against work on a VM that an operator still holds out of service."""
+    """Guards against work on a VM that an operator keeps out of service."""
     home.submitter.must(TakePermit(vm="vm", purpose=PermitPurpose.OPERATOR, holder="o", expected_epoch=1))
     await home.reply()
     home.clock.now += 6
@@ -205,8 +205,8 @@
     assert home.vm_state is VmState.DRAINED
 
 
-async def test_order_given_up_is_not_given_after_the_zone_returns(home):
-    """Guards against a start order that crosses its own cancellation on the way to the leader."""
+async def test_abandoned_run_is_not_started_after_the_zone_returns(home):
+    """Guards against a start order for a run whose end is already being submitted to the leader."""
     await home.reply()
     home.submitter.cut_off = True
     _withdraw(home)
@@ -228,8 +228,8 @@
     )
 
 
-async def test_run_is_ordered_only_once_the_leader_confirmed_it(home):
-    """Guards against a start that the leader takes back because this home fell silent."""
+async def test_run_is_started_only_after_the_leader_confirmed_it(home):
+    """Guards against starting a run that the leader may revoke if this home becomes silent."""
     home.freshness.covered_index = home.job.run.started_index - 1
     assert (await home.reply()).start == []
     waiting = asyncio.create_task(home.reply())
@@ -255,7 +255,7 @@
     ],
 )
 async def test_sync_waits_until_there_is_an_order(home, monkeypatch, case, running, order):
-    """Guards against orders that wait for the next sync, and against an answer to a lost request."""
+    """Guards against orders that are delayed until the next sync, and against a reply to an overtaken request."""
     monkeypatch.setattr("hyssopway.worker.sessions.MAX_WAIT_S", 0.05 if case == "time limit" else WAIT_S)
     if case == "start":
         home.submitter.must(EndRun(job_id="job", epoch=1, outcome=RunOutcome.STOPPED))
@@ -286,8 +286,8 @@
         assert [name for name, jobs in named.items() if jobs] == ([order] if order else [])
 
 
-async def test_repeated_request_to_stop_does_not_end_every_wait(home):
-    """Guards against a worker that syncs without a pause while a task takes its time to end."""
+async def test_repeated_stop_order_does_not_end_every_wait(home):
+    """Guards against a busy loop of syncs while a stopped task has not ended yet."""
     home.submitter.must(CancelJob(job_id="job", team="red"))
     assert (await home.reply(running=[RUNNING], wait_s=WAIT_S, number=1)).stop == ["job"]
     waiting = asyncio.create_task(home.sync(running=[RUNNING], wait_s=0.1, number=2))
