--- a/src/hyssopway/dispatch/advice_plan.py
+++ b/src/hyssopway/dispatch/advice_plan.py
@@ -18,8 +18,8 @@
 
     from hyssopway.workflow import Workflow
 
+    from .free_capacity import FreeCapacity
     from .ticket_cache import TicketCache
-    from .vm_room import VmRoom
 
 MAX_VMS_A_QUESTION = 100
 # Share of its tasks that may be open when a step counts as nearly done.
@@ -66,7 +66,7 @@
 def choose_question(
     *,
     steps: Iterable[AdvisedStep],
-    rooms: dict[str, list[VmRoom]],
+    rooms: dict[str, list[FreeCapacity]],
     boots: dict[str, int],
     tickets: TicketCache,
     good_share: float,
@@ -82,18 +82,18 @@
     """
     for one in steps:
         placeable = 0
-        unknown: list[VmRoom] = []
+        unknown: list[FreeCapacity] = []
         for room in rooms.get(one.pool, ()):
             boot = boots[room.vm_id]
             if tickets.read(one.name, vm=room.vm_id, boot=boot):
-                placeable += room.count_tasks(one.step)
+                placeable += room.max_tasks(one.step)
             elif not tickets.is_refused(one.name, vm=room.vm_id, boot=boot):
                 unknown.append(room)
         lacking = one.waiting - placeable
         if lacking <= 0 or not unknown:
             continue
-        unknown.sort(key=lambda room: -room.count_tasks(one.step))
-        a_vm = max(1, unknown[0].count_tasks(one.step))
+        unknown.sort(key=lambda room: -room.max_tasks(one.step))
+        a_vm = max(1, unknown[0].max_tasks(one.step))
         wanted = math.ceil(lacking / a_vm / good_share)
         chosen = unknown[: min(MAX_VMS_A_QUESTION, wanted)]
         return Question(step=one, vms={room.vm_id: boots[room.vm_id] for room in chosen})
--- a/src/hyssopway/dispatch/conductor.py
+++ b/src/hyssopway/dispatch/leader_controller.py
@@ -7,22 +7,22 @@
 
 from hyssopway.clock import wall_ms
 from hyssopway.event import Event, log_event
-from hyssopway.workflow import ForgetWorkflows, RegisterVm, RemoveVm
+from hyssopway.workflow import DeleteWorkflows, RegisterVm, RemoveVm
 
 from .advice_fetcher import AdviceFetcher
-from .answer_times import AnswerTimes
 from .dispatcher import Dispatcher
-from .emptying import Emptying
+from .duration_scale import DurationScale
 from .leadership import LeadershipLostError
-from .look_pacer import LookPacer
-from .machine_list import MachineList
-from .pace_memory import PaceMemory
+from .machine_inventory import MachineInventory
+from .pace_history import PaceHistory
+from .poll_rate_limiter import PollRateLimiter
 from .pool_load import measure_pools
-from .pool_mover import PoolMover
+from .pool_rebalancer import PoolRebalancer
 from .retention import Retention
-from .vm_link import FORGET_S, VmLink
-from .waves import Waves
-from .work_scale import WorkScale
+from .rtt_estimator import RttEstimator
+from .vm_drainer import VmDrainer
+from .vm_link import REMOVE_AFTER_S, VmLink
+from .wave_executor import WaveExecutor
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable
@@ -37,7 +37,7 @@
 REPORT_S = 1.0
 
 
-class Conductor:
+class LeaderController:
     """Links to all VMs and the decisions of a leader.
 
     Attributes:
@@ -51,9 +51,9 @@
         waves: Carries out maintenance waves.
         scale: How far declared durations are off.
         mover: Moves machines between pools.
-        pacer: Rate of the looks at all VMs.
+        poll_limiter: Rate of the polls at all VMs.
         pace_memory: How much tasks that fill disturb those that serve.
-        times: Times that answers to orders take.
+        rtt_estimator: Times that answers to orders take.
         retention: Workflows that ended, and since when.
         tasks: Running tasks by VM.
         reported_at: Local time of the last report of the load.
@@ -69,12 +69,12 @@
         "links",
         "mover",
         "pace_memory",
-        "pacer",
+        "poll_limiter",
         "reported_at",
         "retention",
+        "rtt_estimator",
         "scale",
         "tasks",
-        "times",
         "waves",
     )
 
@@ -93,10 +93,10 @@
         self.links: dict[str, VmLink] = {}
         self.reported_at = float("-inf")
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.scale = WorkScale()
-        self.pacer = LookPacer()
-        self.pace_memory = PaceMemory()
-        self.times = AnswerTimes()
+        self.scale = DurationScale()
+        self.poll_limiter = PollRateLimiter()
+        self.pace_memory = PaceHistory()
+        self.rtt_estimator = RttEstimator()
         self.retention = Retention(keep_s=limits.status_s)
         self.dispatcher = Dispatcher(leadership=leadership, links=self.links)
         self.advice = AdviceFetcher(
@@ -105,30 +105,30 @@
             tickets=self.dispatcher.tickets,
             clock=leadership.clock,
             wall_ms=wall_ms,
-            list_rooms=self.dispatcher.list_rooms,
+            list_free_capacity=self.dispatcher.list_free_capacity,
             on_tickets=self.dispatcher.changed.set,
         )
-        self.emptying = Emptying(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
-        machine_list = MachineList(
+        self.emptying = VmDrainer(leadership=leadership, links=self.links, dispatcher=self.dispatcher)
+        machine_list = MachineInventory(
             leadership=leadership,
             calls=machines,
-            turn_s=limits.turn_s,
-            shortest_order_s=min(limits.move_s, limits.maintenance_s),
+            machine_lease_s=limits.machine_lease_s,
+            min_down_s=min(limits.move_s, limits.maintenance_s),
         )
-        self.mover = PoolMover(
+        self.mover = PoolRebalancer(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             scale=self.scale,
             move_s=limits.move_s,
             orders_per_s=limits.machine_orders_per_s,
         )
-        self.waves = Waves(
+        self.waves = WaveExecutor(
             leadership=leadership,
             calls=machines,
             machines=machine_list,
-            emptying=self.emptying,
+            drainer=self.emptying,
             maintenance_s=limits.maintenance_s,
         )
 
@@ -160,7 +160,7 @@
             for task in (*running.values(), *self.tasks.values(), *self.dispatcher.sending):
                 task.cancel()
 
-    async def take_announcement(self, command: RegisterVm) -> None:
+    async def handle_announcement(self, command: RegisterVm) -> None:
         """Takes in what a VM says of itself; agrees on it only when something changed."""
         link = self.links.get(command.vm)
         if link is not None:
@@ -178,7 +178,7 @@
         await self.leadership.propose(command)
         self._follow_vms()
 
-    async def take_departure(self, *, vm: str) -> None:
+    async def handle_departure(self, *, vm: str) -> None:
         """Takes in that a VM has ended."""
         known = self.leadership.state.tables.vms.get(vm)
         if known is not None:
@@ -198,8 +198,8 @@
                     calls=self.calls,
                     limits=self.limits,
                     scale=self.scale,
-                    pacer=self.pacer,
-                    times=self.times,
+                    poll_limiter=self.poll_limiter,
+                    rtt_estimator=self.rtt_estimator,
                     pace_memory=self.pace_memory,
                     tickets=self.dispatcher.tickets,
                     on_change=self.dispatcher.changed.set,
@@ -212,9 +212,9 @@
     def _empty_draining(self) -> None:
         for vm_id, vm in self.leadership.state.tables.vms.items():
             if vm.draining:
-                self.emptying.close(vm_id, reason="it drains")
+                self.emptying.cordon(vm_id, reason="it drains")
         if self.leadership.may_order():
-            self.emptying.step()
+            self.emptying.evict_runs()
 
     def _report_load(self) -> None:
         now = self.leadership.clock()
@@ -230,7 +230,7 @@
                 pool=pool,
                 vms=load.vms,
                 capacity=load.capacity_millis // 1000,
-                steady=load.steady_millis // 1000,
+                steady=load.long_running_millis // 1000,
                 short=load.short_millis // 1000,
                 waiting=load.waiting_millis // 1000,
             )
@@ -239,14 +239,14 @@
         workflows = self.leadership.state.tables.workflows
         expired = self.retention.find_expired(workflows, now=self.leadership.clock())
         if expired:
-            await self.leadership.propose(ForgetWorkflows(workflow_ids=expired))
+            await self.leadership.propose(DeleteWorkflows(workflow_ids=expired))
             log_event(Event.WORKFLOWS_FORGOTTEN, count=len(expired), left=len(workflows))
 
     async def _forget_silent(self) -> None:
         now = self.leadership.clock()
         for vm_id, link in list(self.links.items()):
             record = link.record
-            if record is not None and now - link.heard_at > FORGET_S and now > link.lease.ends_at:
+            if record is not None and now - link.heard_at > REMOVE_AFTER_S and now > link.lease.expires_at:
                 log_event(Event.VM_GONE, vm=vm_id, reason=f"silent for {now - link.heard_at:.1f} s")
                 await self.leadership.propose(RemoveVm(vm=vm_id, boot=record.boot, at_ms=wall_ms()))
 
@@ -257,7 +257,7 @@
     except LeadershipLostError as error:
         log_event(Event.TASK_ENDED, task=name, reason=str(error))
     except Exception as error:
-        # The conductor starts the task again.
+        # The controller starts the task again.
         log_event(Event.TASK_FAILED, task=name, error=repr(error))
 
 
@@ -266,4 +266,4 @@
     return all(getattr(known, field) == getattr(command, field) for field in fields)
 
 
-__all__ = ["Conductor"]
+__all__ = ["LeaderController"]
--- a/src/hyssopway/fleet/controller.py
+++ b/src/hyssopway/fleet/controller.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken
-from hyssopway.control.apply.waves import is_under_way
+from hyssopway.control.apply.budgets import find_broken_budget
+from hyssopway.control.apply.waves import is_active
 from hyssopway.control.command import (
     AdvanceWave,
     ChangeVm,
     ControlWave,
     MoveVm,
-    NoteQuestion,
+    RecordDrainQuestion,
     SetZone,
     TakePermit,
 )
@@ -179,7 +179,7 @@
                 # The reply may be lost after the command was committed; a later round then finds the record.
                 self.unconfirmed_questions.add(key)
                 await self.submitter.submit(
-                    NoteQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
+                    RecordDrainQuestion(vm=permit.vm, holder=permit.holder, at_ms=permit.at_ms),
                     timeout_s=SUBMIT_TIMEOUT_S,
                 )
             if permit.asked and key in self.unconfirmed_questions:
@@ -195,7 +195,7 @@
         late = {
             wave.wave_id: late_ms
             for wave in state.tables.waves.values()
-            if is_under_way(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
+            if is_active(wave) and (late_ms := forecast_overrun_ms(state, wave=wave, now_ms=self.now_ms()))
         }
         for wave_id in sorted(late.keys() - self.reported_late):
             question = (
@@ -206,7 +206,7 @@
         self.reported_late = set(late)
 
     def _report_broken_budget(self) -> None:
-        broken = find_broken(self.replica.state)
+        broken = find_broken_budget(self.replica.state)
         if broken and broken != self.reported_broken_budget:
             log_event(Event.BUDGET_BROKEN, reason=broken)
         if self.reported_broken_budget and not broken:
--- a/src/hyssopway/fleet/zone_steps.py
+++ b/src/hyssopway/fleet/zone_steps.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from hyssopway.control.apply.budgets import find_broken, find_excess
+from hyssopway.control.apply.budgets import find_broken_budget, find_exhausted_budget
 from hyssopway.control.command import MoveVm, ReturnPermit, SetZone, TakePermit
 from hyssopway.control.record import PermitPurpose, VmState, ZoneStatus
 
@@ -83,7 +83,7 @@
 
 
 def _empty_zone(state: ControlState, *, zone: Zone) -> list[ZoneStep]:
-    if find_broken(state):
+    if find_broken_budget(state):
         return []
     steps: list[ZoneStep] = [*_add_spare_capacity(state, zone=zone)]
     chosen: set[str] = set()
@@ -92,7 +92,7 @@
             continue
         # A withdrawal is limited only by the budget of the pool as a whole, so a refusal applies to all its VMs.
         chosen.add(vm.pool)
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.WITHDRAWAL):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.WITHDRAWAL):
             steps.append(_take_permit(zone, vm=vm, purpose=PermitPurpose.WITHDRAWAL))
         else:
             steps += _swap_for_spare(state, zone=zone, pool=vm.pool)
@@ -118,7 +118,7 @@
         if not is_own or (vm.pool, vm.state) != (pool, VmState.DRAINED) or is_temporarily_moved(vm):
             continue
         moved = replace(vm, pool=spare)
-        if not left and not find_excess(state, vm=moved, purpose=PermitPurpose.WITHDRAWAL):
+        if not left and not find_exhausted_budget(state, vm=moved, purpose=PermitPurpose.WITHDRAWAL):
             reason = f"{holder}; a spare VM replaces it"
             return [MoveVm(vm=vm.name, target=spare, expected_epoch=vm.epoch, reason=reason)]
     return []
@@ -141,7 +141,7 @@
         return []
     pool = max(missing, key=lambda name: (missing[name], name))
     for vm in list_spares(state, outside=zone.name)[:MAX_BUDGET_CHECKS]:
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MOVE):
             return [_take_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=pool)]
     return []
 
@@ -178,7 +178,7 @@
     moved = [vm for vm in moved if document and document.pool(name=vm.moved_from)]
     moved.sort(key=lambda vm: vm.zone != zone.name)
     for vm in moved[:MAX_BUDGET_CHECKS]:
-        if not find_excess(state, vm=vm, purpose=PermitPurpose.MOVE):
+        if not find_exhausted_budget(state, vm=vm, purpose=PermitPurpose.MOVE):
             return [_take_permit(zone, vm=vm, purpose=PermitPurpose.MOVE, target=vm.moved_from)]
     return []
 
--- a/src/hyssopway/job/run_revoker.py
+++ b/src/hyssopway/job/run_revoker.py
@@ -117,7 +117,7 @@
 
     def _find_revocable_ends(self, home: str) -> list[EndRun]:
         silent_s = self.home_monitor.silent_s(home)
-        confirmed = max(self.confirmed_indexes.get(home, 0), self.member.term_start)
+        confirmed = max(self.confirmed_indexes.get(home, 0), self.member.term_start_index)
         state = self.replica.state
         return [
             EndRun(
--- a/src/hyssopway/replica/proposer.py
+++ b/src/hyssopway/replica/proposer.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from hyssopway.control import seal_command
+from hyssopway.control import wrap_command
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -12,7 +12,7 @@
     from expression import Result
 
     from hyssopway.agreement import Member
-    from hyssopway.control import AgreedClock, Outcome
+    from hyssopway.control import ClusterClock, Outcome
     from hyssopway.result import Failure
 
     from .replica import Replica
@@ -31,7 +31,7 @@
     __slots__ = ("agreed_clock", "member", "replica", "wall_ms")
 
     def __init__(
-        self, *, member: Member, replica: Replica, agreed_clock: AgreedClock, wall_ms: Callable[[], int]
+        self, *, member: Member, replica: Replica, agreed_clock: ClusterClock, wall_ms: Callable[[], int]
     ) -> None:
         self.member = member
         self.replica = replica
@@ -48,7 +48,7 @@
         Raises:
             ValueError: The bytes are not a command of this release.
         """
-        data = seal_command(command, at_ms=self.now_ms(), wall_ms=self.wall_ms())
+        data = wrap_command(command, at_ms=self.now_ms(), wall_ms=self.wall_ms())
         return await self.member.propose(data=data, timeout_s=timeout_s)
 
 
--- a/src/hyssopway/workflow/apply_fleet.py
+++ b/src/hyssopway/workflow/apply_fleet.py
@@ -1,4 +1,4 @@
-"""Applies changes of configuration, zones, VMs and maintenance."""
+"""Applies commands for the configuration, zones, VMs and maintenance."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     from .commands import (
         BeginMaintenance,
         ConfirmMaintenance,
-        NoteMachineOrders,
         PutDocument,
+        RecordMachineOrders,
         RegisterVm,
         RemoveVm,
         SetZoneEvacuated,
@@ -26,17 +26,17 @@
 
 
 def put_document(tables: Tables, indexes: Indexes, command: PutDocument) -> None:
-    """Stores a configuration whose version is higher than the one in force."""
+    """Stores a configuration if its version is higher than that of the active one."""
     document = command.document
     if tables.document is not None and document.version <= tables.document.version:
         return
     tables.document = document
     tables.queue_pools.update({queue.name: queue.pool for queue in document.queues})
-    indexes.take_document(document)
+    indexes.index_document(document)
 
 
 def set_zone_evacuated(tables: Tables, command: SetZoneEvacuated) -> None:
-    """Takes a zone out of service or back."""
+    """Marks a zone as evacuated, or puts it back into service."""
     if command.evacuated:
         tables.evacuated.add(command.zone)
     else:
@@ -44,14 +44,15 @@
 
 
 def register_vm(tables: Tables, indexes: Indexes, command: RegisterVm) -> None:
-    """Takes in what a VM says of itself."""
+    """Stores what a VM announced about itself; marks the runs of an earlier boot as lost."""
     old = tables.vms.get(command.vm)
     if old is not None and command.boot < old.boot:
         return
     if old is not None and command.boot > old.boot:
-        _lose_runs(tables, indexes, vm=old, at_ms=command.at_ms)
+        _mark_runs_lost(tables, indexes, vm=old, at_ms=command.at_ms)
         old = None
-    # A VM that began to drain does not return within the same boot; a late announcement must not say so.
+    # A VM that started to drain never stops draining within the same boot. An announcement that was sent before
+    # the drain may arrive late and must not clear the flag.
     draining = command.draining or (old is not None and old.draining)
     tables.vms[command.vm] = VmRecord(
         vm_id=command.vm,
@@ -68,16 +69,16 @@
 
 
 def remove_vm(tables: Tables, indexes: Indexes, command: RemoveVm) -> None:
-    """Forgets a VM."""
+    """Deletes a VM and marks its runs as lost."""
     vm = tables.vms.get(command.vm)
     if vm is None or vm.boot != command.boot:
         return
-    _lose_runs(tables, indexes, vm=vm, at_ms=command.at_ms)
+    _mark_runs_lost(tables, indexes, vm=vm, at_ms=command.at_ms)
     del tables.vms[command.vm]
 
 
 def start_wave(tables: Tables, command: StartWave) -> None:
-    """Starts a wave unless its number is known."""
+    """Stores a wave unless its number is known."""
     if command.number not in tables.waves:
         tables.waves[command.number] = WaveRecord(
             number=command.number,
@@ -88,7 +89,7 @@
 
 
 def begin_maintenance(tables: Tables, command: BeginMaintenance) -> None:
-    """Notes that the maintenance of a machine is about to be ordered."""
+    """Records that the maintenance of a machine is about to be requested from the platform."""
     wave = tables.waves.get(command.wave)
     if wave is not None:
         wave.begun.setdefault(command.machine, command.at_ms)
@@ -96,19 +97,19 @@
 
 
 def confirm_maintenance(tables: Tables, command: ConfirmMaintenance) -> None:
-    """Notes that the maintenance of a machine has begun."""
+    """Records that the maintenance of a machine has begun."""
     wave = tables.waves.get(command.wave)
     if wave is not None:
         wave.confirmed.add(command.machine)
 
 
-def note_machine_orders(tables: Tables, command: NoteMachineOrders) -> None:
-    """Notes that machines are about to be ordered to move."""
+def record_machine_orders(tables: Tables, command: RecordMachineOrders) -> None:
+    """Records that the platform is about to be asked to move machines."""
     for machine in command.machines:
         tables.machine_orders[machine] = command.at_ms
 
 
-def _lose_runs(tables: Tables, indexes: Indexes, *, vm: VmRecord, at_ms: int) -> None:
+def _mark_runs_lost(tables: Tables, indexes: Indexes, *, vm: VmRecord, at_ms: int) -> None:
     for key in sorted(vm.runs):
         task, _, run = key.rpartition("/")
         end = RunEnd(task=task, run=int(run), outcome=RunOutcome.LOST)
@@ -118,8 +119,8 @@
 __all__ = [
     "begin_maintenance",
     "confirm_maintenance",
-    "note_machine_orders",
     "put_document",
+    "record_machine_orders",
     "register_vm",
     "remove_vm",
     "set_zone_evacuated",
--- a/src/hyssopway/workflow/apply_workflows.py
+++ b/src/hyssopway/workflow/apply_workflows.py
@@ -1,4 +1,4 @@
-"""Applies changes of workflows and their runs."""
+"""Applies commands for workflows and their runs."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
         AcceptWorkflow,
         AddOccurrence,
         CancelWorkflow,
+        DeleteWorkflows,
         EndRuns,
-        ForgetWorkflows,
         RunStart,
         StartRuns,
     )
@@ -26,7 +26,7 @@
 
 
 def accept_workflow(tables: Tables, indexes: Indexes, command: AcceptWorkflow) -> None:
-    """Stores a workflow unless its identity is known."""
+    """Stores a workflow unless its ID is known."""
     if command.workflow_id in tables.workflows:
         return
     workflow = Workflow(
@@ -43,21 +43,21 @@
 
 
 def add_occurrence(tables: Tables, command: AddOccurrence) -> None:
-    """Makes an occurrence of a scheduled workflow due."""
+    """Adds the tasks of an occurrence of a scheduled workflow that is due."""
     workflow = tables.workflows.get(command.workflow_id)
     if workflow is not None and not workflow.status.is_final:
         workflow.add_occurrence(command.occurrence)
 
 
 def cancel_workflow(tables: Tables, indexes: Indexes, command: CancelWorkflow) -> None:
-    """Cancels a workflow that has not ended; its runs stay known until they end."""
+    """Cancels a workflow that has not ended; the records of its runs stay until the runs end."""
     workflow = tables.workflows.get(command.workflow_id)
     if workflow is not None and not workflow.status.is_final:
         end_workflow(tables, indexes, workflow, status=WorkflowStatus.CANCELLED, at_ms=command.at_ms)
 
 
-def forget_workflows(tables: Tables, command: ForgetWorkflows) -> None:
-    """Removes workflows that have ended and of which nothing runs any more."""
+def delete_workflows(tables: Tables, command: DeleteWorkflows) -> None:
+    """Deletes workflows that have ended and have no run in progress."""
     running = {TaskId.parse(task).workflow for task in tables.runs}
     for workflow_id in command.workflow_ids:
         workflow = tables.workflows.get(workflow_id)
@@ -68,7 +68,7 @@
 def end_workflow(
     tables: Tables, indexes: Indexes, workflow: Workflow, *, status: WorkflowStatus, at_ms: int
 ) -> None:
-    """Ends a workflow; nothing of it starts from now on, and what runs is unwanted."""
+    """Ends a workflow: no run of it starts any more, and its runs in progress are to be stopped."""
     workflow.status = status
     workflow.ended_ms = at_ms
     indexes.open_workflows.pop(workflow.workflow_id, None)
@@ -76,17 +76,17 @@
         for step, progress in enumerate(steps):
             for index in range(len(progress.done)):
                 task = TaskId(workflow.workflow_id, occurrence, step, index)
-                _mark_unwanted(tables, indexes, task=task.name)
+                _mark_runs_to_stop(tables, indexes, task=task.name)
 
 
 def start_runs(tables: Tables, indexes: Indexes, command: StartRuns) -> None:
-    """Agrees on the starts that are still allowed."""
+    """Starts the runs of a command that are still allowed and skips the others."""
     for start in command.starts:
         _start_run(tables, indexes, start=start, fencing_token=command.fencing_token)
 
 
 def end_runs(tables: Tables, indexes: Indexes, command: EndRuns) -> None:
-    """Agrees on ends; what is known already changes nothing."""
+    """Ends the runs of a command; an end that is already known changes nothing."""
     vm = tables.vms.get(command.vm)
     if vm is not None and vm.boot == command.boot:
         vm.last_end = max(vm.last_end, command.last_end)
@@ -97,7 +97,7 @@
 def end_run(tables: Tables, indexes: Indexes, *, end: RunEnd, vm: str, boot: int, at_ms: int) -> None:
     """Ends one run if it is in progress on this boot of the VM."""
     runs = tables.runs.get(end.task, [])
-    run = next((one for one in runs if (one.run, one.vm, one.boot) == (end.run, vm, boot)), None)
+    run = next((item for item in runs if (item.run, item.vm, item.boot) == (end.run, vm, boot)), None)
     if run is None:
         return
     indexes.count_run(tables=tables, run=run, sign=-1)
@@ -107,8 +107,8 @@
     record = tables.vms.get(vm)
     if record is not None:
         record.runs.discard(run.key)
-    indexes.unwanted.pop(run.key, None)
-    _take_outcome(tables, indexes, end=end, is_last=not runs, at_ms=at_ms)
+    indexes.runs_to_stop.pop(run.key, None)
+    _apply_outcome(tables, indexes, end=end, is_last=not runs, at_ms=at_ms)
 
 
 def _start_run(tables: Tables, indexes: Indexes, *, start: RunStart, fencing_token: int) -> None:
@@ -136,7 +136,7 @@
     workflow.status = WorkflowStatus.RUNNING
 
 
-def _take_outcome(tables: Tables, indexes: Indexes, *, end: RunEnd, is_last: bool, at_ms: int) -> None:
+def _apply_outcome(tables: Tables, indexes: Indexes, *, end: RunEnd, is_last: bool, at_ms: int) -> None:
     task = TaskId.parse(end.task)
     workflow = tables.workflows[task.workflow]
     step = workflow.spec.steps[task.step]
@@ -164,7 +164,7 @@
     progress.pending.discard(task.number)
     progress.saved.pop(task.number, None)
     progress.open_count -= 1
-    _mark_unwanted(tables, indexes, task=task.name)
+    _mark_runs_to_stop(tables, indexes, task=task.name)
     if any(step.open_count for step in workflow.progress[task.occurrence]):
         return
     workflow.occurrences_done += 1
@@ -172,17 +172,17 @@
         end_workflow(tables, indexes, workflow, status=WorkflowStatus.COMPLETED, at_ms=at_ms)
 
 
-def _mark_unwanted(tables: Tables, indexes: Indexes, *, task: str) -> None:
+def _mark_runs_to_stop(tables: Tables, indexes: Indexes, *, task: str) -> None:
     for run in tables.runs.get(task, ()):
-        indexes.unwanted[run.key] = run.vm
+        indexes.runs_to_stop[run.key] = run.vm
 
 
 __all__ = [
     "accept_workflow",
     "add_occurrence",
     "cancel_workflow",
+    "delete_workflows",
     "end_run",
     "end_runs",
-    "forget_workflows",
     "start_runs",
 ]
--- a/tests/agreement/test_cancelled_writes.py
+++ b/tests/agreement/test_cancelled_writes.py
@@ -14,7 +14,7 @@
 from hyssopway.agreement import (
     Configuration,
     Member,
-    SnapshotParts,
+    SnapshotAssembler,
     Store,
     Timers,
     answer_append,
@@ -77,7 +77,7 @@
     member = Member(
         daemon="a",
         store=HeldStore(folder=tmp_path),
-        machine=Machine(),
+        state_machine=Machine(),
         clock=time.monotonic,
         timers=TIMERS,
         snapshot_entries=1,
@@ -111,7 +111,7 @@
         data=b"",
         last=True,
     )
-    return answer_snapshot(member=member, parts=SnapshotParts(), chunk=chunk)
+    return answer_snapshot(member=member, assembler=SnapshotAssembler(), chunk=chunk)
 
 
 def _vote(member: Member) -> Awaitable[Any]:
@@ -135,7 +135,7 @@
     member.store.entries.append(Entry(term=1, data=b"x"))
     Store.write_entries(member.store, index=1, entries=member.store.entries)
     member.commit_index = 1
-    member.committed.set()
+    member.commit_advanced.set()
     return member.apply_committed()
 
 
--- a/tests/fleet/test_lending.py
+++ b/tests/fleet/test_lending.py
@@ -12,7 +12,7 @@
 from hyssopway.fleet.lending import decide_lending, required_spare_vms
 from hyssopway_standins.agreed import AgreedStandIn
 from hyssopway_standins.wave_driver import WaveDriver
-from states import prepare
+from states import make_submitter
 
 
 @pytest.fixture
@@ -95,7 +95,7 @@
 )
 def test_jobs_blocked_by_a_limit_are_no_demand(team, started, accepted, cores):
     """Guards against lending VMs for jobs that stay pending anyway because of their team's limit of 3 tasks."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm-1")
     for number in range(accepted):
         assert submitter.accept(f"job-{number}", team=team).failure is None
@@ -106,7 +106,7 @@
 
 def test_jobs_of_a_removed_team_are_no_demand():
     """Guards against lending VMs for jobs of a team that a newer document removed."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.accept("job-1", team="red")
     submitter.state.document().teams.clear()
     assert count_waiting_cores(submitter.state) == {}
--- a/tests/job/test_home_monitor.py
+++ b/tests/job/test_home_monitor.py
@@ -8,7 +8,7 @@
 from hyssopway.control.record import JobStatus, VmState
 from hyssopway.job import HomeMonitor
 from hyssopway.job.home_monitor import MARK_DOWN_AFTER_S
-from states import DOCUMENT, ManualClock, prepare
+from states import DOCUMENT, ManualClock, make_submitter
 
 # Sum of the default cut_off_run_s, the worker's lease and the margin.
 ALLOWED_S = 120 + 4 + 5
@@ -26,7 +26,7 @@
 )
 async def test_runs_end_only_after_every_lease_has_expired(contact_at, leads_at, freeze, lost):
     """Guards against starting a second run while a cut-off home still renews the lease of the first."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm", home="h2")
     submitter.accept("job")
     submitter.start("job", "vm")
@@ -56,7 +56,7 @@
 
 async def test_lowered_cut_off_time_does_not_apply_to_a_home_already_cut_off():
     """Guards against a second run while a cut-off home still renews leases under the previous document."""
-    submitter = prepare()
+    submitter = make_submitter()
     submitter.register("vm", home="h2")
     submitter.accept("job")
     submitter.start("job", "vm")
@@ -71,10 +71,12 @@
     )
     await homes.check()
     text = DOCUMENT.replace("cut_off_run_s: 120", "cut_off_run_s: 10")
-    digest = submitter.must(
+    digest = submitter.apply_or_fail(
         TrialDocument(text=text, expected_generation=1, request_id="t2", operator="o")
     ).reference
-    submitter.must(PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o"))
+    submitter.apply_or_fail(
+        PromoteDocument(digest=digest, expected_generation=1, request_id="p2", operator="o")
+    )
     lost_at = 0.0
     while not lost_at and clock.now < 2 * ALLOWED_S:
         clock.now += 0.5
--- a/tests/job/test_run_revoker.py
+++ b/tests/job/test_run_revoker.py
@@ -8,12 +8,12 @@
 import pytest
 from expression import Error, Ok
 
-from hyssopway.control import seal_command
+from hyssopway.control import wrap_command
 from hyssopway.control.record import JobStatus
 from hyssopway.job import HomeMonitor, RunRevoker
 from hyssopway.job.home_monitor import SILENT_AFTER_S
 from hyssopway.result import Failure, ResultCode
-from states import LocalSubmitter, ManualClock, prepare
+from states import LocalSubmitter, ManualClock, make_submitter
 
 if TYPE_CHECKING:
     from typing import Any
@@ -25,7 +25,7 @@
 
     is_leader: bool = True
     term: int = 1
-    term_start: int = 0
+    term_start_index: int = 0
 
 
 @dataclass
@@ -39,7 +39,7 @@
         if self.unknown:
             return Error(Failure(code=ResultCode.OUTCOME_UNKNOWN, message="no quorum"))
         replica = self.submitter.replica
-        data = seal_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
+        data = wrap_command(command, at_ms=self.submitter.at_ms, wall_ms=self.submitter.at_ms)
         return Ok(replica.apply(index=replica.applied_index + 1, data=data))
 
 
@@ -47,7 +47,7 @@
 class RevokerHarness:
     """Leader with one run on a worker of home `h2`, which was never in contact."""
 
-    submitter: LocalSubmitter = field(default_factory=prepare)
+    submitter: LocalSubmitter = field(default_factory=make_submitter)
     clock: ManualClock = field(default_factory=ManualClock)
     member: FakeMember = field(default_factory=FakeMember)
 
@@ -109,7 +109,7 @@
         case "confirmed with the start":
             harness.runs.confirmed_indexes["h2"] = started
         case "started in a former term":
-            harness.member.term_start = started + 1
+            harness.member.term_start_index = started + 1
         case "worker moved to another home":
             harness.submitter.register("vm", home="h3")
             harness.submitter.register("vm", home="h2")
@@ -145,7 +145,7 @@
     await harness.check()
     await harness.check(after_s=SILENT_AFTER_S + 0.1)
     harness.proposer.unknown = False
-    harness.member.term, harness.member.term_start = 3, 1_000
+    harness.member.term, harness.member.term_start_index = 3, 1_000
     await harness.check()
     assert harness.status is JobStatus.RUNNING
     assert harness.runs.undecided_ends == {}
