--- a/src/hyssopway/fleet/demand.py
+++ b/src/hyssopway/fleet/demand.py
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Demand:
-    """Exponentially smoothed demand; kept in memory and restarted by a new leader.
+    """Exponentially smoothed demand; kept in memory, so a new leader starts empty.
 
     Attributes:
         cores: Smoothed number of cores that pending jobs wait for, by pool.
--- a/src/hyssopway/fleet/vm_request_counter.py
+++ b/src/hyssopway/fleet/vm_request_counter.py
@@ -27,10 +27,10 @@
 # others miss its summaries, and then use them until their lease expires.
 MAX_SEND_AFTER_CONTACT_S = SUMMARY_VALID_S + CREDIT_LEASE_S + HOME_MARGIN_S
 # Largest age of the request count in a sync: a worker abandons a sync after 2.5 s.
-REPORT_AGE_S = 3.0
+MAX_REPORT_AGE_S = 3.0
 # An endpoint that left may receive requests until its lease at a home that it could not notify, and the
 # credits granted by that home, have expired. A count is final only if it is taken after that.
-REPORT_TRUSTED_AFTER_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S + REPORT_AGE_S
+REPORT_TRUSTED_AFTER_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S + MAX_REPORT_AGE_S
 
 
 class VmRequestCounter:
@@ -87,17 +87,17 @@
         asked_at = self.ledger.clock()
         names = list(self.heard_at)
         answers = await asyncio.gather(*(self._query(name, vm=vm) for name in names))
-        known: list[dict[str, Any]] = [self.build_report(vm)]
+        reports: list[dict[str, Any]] = [self.build_report(vm)]
         for name, answer in zip(names, answers, strict=True):
             if answer is not None:
                 self.heard_at[name] = asked_at
-                known.append(answer)
-        for answer in known:
+                reports.append(answer)
+        for answer in reports:
             for name, age_s in answer["heard"].items():
                 if name in self.heard_at and age_s is not None:
                     self.heard_at[name] = max(self.heard_at[name], asked_at - age_s)
         # An entry whose replica lags behind may still grant credits for the VM.
-        if not all(answer["stopping"] for answer in known):
+        if not all(answer["stopping"] for answer in reports):
             return None
         if counted is not None:
             return counted
@@ -105,14 +105,14 @@
         wait_s = self.longest_deadline_s() + MAX_SEND_AFTER_CONTACT_S
         if any(self._may_have_requests(name, wait_s=wait_s) for name in silent):
             return None
-        return sum(int(answer["held"]) + int(answer["granted"]) for answer in known)
+        return sum(int(answer["held"]) + int(answer["granted"]) for answer in reports)
 
     def build_report(self, vm: str) -> dict[str, Any]:
         """Returns this daemon's report on requests to the VM and on its contacts with other entries."""
         now = self.ledger.clock()
-        known = self.replica.state.tables.vms.get(vm)
+        record = self.replica.state.tables.vms.get(vm)
         return {
-            "stopping": known is not None and known.state is not VmState.READY,
+            "stopping": record is not None and record.state is not VmState.READY,
             "granted": sum(
                 grant.vm == vm and grant.expires_at > now for grant in self.ledger.grants.values()
             ),
--- a/src/hyssopway/fleet/zone_report.py
+++ b/src/hyssopway/fleet/zone_report.py
@@ -19,12 +19,12 @@
 def report_zone(state: ControlState, *, zone: str) -> dict[str, Any]:
     """Returns the effects of withdrawing a zone, without changing anything."""
     document = state.document()
-    known = state.tables.zones[zone]
+    record = state.tables.zones[zone]
     vms = [vm for vm in state.tables.vms.values() if vm.zone == zone]
     pools = {vm.pool for vm in vms}
-    missing = count_missing(state, zone=known)
+    missing = count_missing(state, zone=record)
     return {
-        "zone": known,
+        "zone": record,
         "vms": Counter(vm.state.value for vm in vms),
         "budgets": [_report_pool(state, document=document, pool=pool, vms=vms) for pool in sorted(pools)]
         if document
--- a/src/hyssopway/job/estimates.py
+++ b/src/hyssopway/job/estimates.py
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Estimates:
-    """Usage estimates; kept in memory and rebuilt by a new leader.
+    """Usage estimates; kept in memory, so a new leader starts empty.
 
     Attributes:
         kinds: Estimates by team and task kind.
--- a/src/hyssopway/job/quarantine.py
+++ b/src/hyssopway/job/quarantine.py
@@ -22,7 +22,8 @@
 KIND_WINDOW = 20
 MIN_ATTRIBUTED_JOBS = 3
 
-# At most this fraction (1 / QUARANTINE_DIVISOR) of a pool is quarantined, so that mass failures do not empty it.
+# At most 1 / QUARANTINE_DIVISOR of a pool, but always one VM, may be quarantined, so that mass failures do not
+# empty the pool.
 QUARANTINE_DIVISOR = 4
 
 # In a first burst of jobs no run has succeeded on another VM yet, so there is nothing to compare with. A VM on
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class Quarantine:
-    """Compares run outcomes across jobs and VMs; kept in memory and rebuilt by a new leader.
+    """Compares run outcomes across jobs and VMs; kept in memory, so a new leader starts empty.
 
     Attributes:
         planner: Scheduler's view of the fleet.
--- a/src/hyssopway/job/reclaim.py
+++ b/src/hyssopway/job/reclaim.py
@@ -27,8 +27,8 @@
 # After this time a reclaim that freed no capacity is retried on other runs.
 RECLAIM_TIMEOUT_S = 5.0
 # A stop order, the end of the run and its report take about 0.2 s over a long-polling sync. Three attempts fit
-# into the 3.3 s within which urgent jobs must start; with a longer timeout, a job whose first reclaim freed no
-# capacity took 5.03 s.
+# into the 3.3 s within which urgent jobs must start; in one run a job took 5.03 s because its first reclaim
+# freed no capacity.
 URGENT_RECLAIM_TIMEOUT_S = 1.0
 
 # Actions that end a run: reclaiming such a run again frees no more capacity.
--- a/src/hyssopway/worker/sessions.py
+++ b/src/hyssopway/worker/sessions.py
@@ -211,16 +211,18 @@
 
         The leader revokes runs that it never confirmed to a home that became silent.
         """
-        known = _list_reported_runs(request)
-        runs = [job.run for job in self.jobs_on(vm) if job.run and (job.job_id, job.run.epoch) not in known]
+        reported = _list_reported_runs(request)
+        runs = [
+            job.run for job in self.jobs_on(vm) if job.run and (job.job_id, job.run.epoch) not in reported
+        ]
         index = max((run.started_index for run in runs), default=0)
         if index > self.freshness.covered_index and self.freshness.is_valid:
             await self.freshness.wait_covered(index, timeout_s=COVER_TIMEOUT_S)
 
     async def _register(self, *, vm: str, request: SyncRequest) -> Failure | None:
-        known = self.replica.state.tables.vms.get(vm)
-        if known and known.home == self.own_name and known.boot_id == request.boot_id:
-            return await self._restore_from_down(known) if known.state is VmState.DOWN else None
+        record = self.replica.state.tables.vms.get(vm)
+        if record and record.home == self.own_name and record.boot_id == request.boot_id:
+            return await self._restore_from_down(record) if record.state is VmState.DOWN else None
         command = RegisterVm(
             vm=vm,
             zone=request.zone,
@@ -235,11 +237,11 @@
                 log_event(Event.WORKER_CONNECTED, vm=vm, epoch=outcome.generation)
             case Result(error=failure):
                 return failure
-        known = self.replica.state.tables.vms.get(vm)
-        if known is None:
+        record = self.replica.state.tables.vms.get(vm)
+        if record is None:
             message = f"this daemon has not applied the registration of VM {vm} yet"
             return Failure(code=ResultCode.REPLICA_BEHIND, message=message)
-        return await self._restore_from_down(known) if known.state is VmState.DOWN else None
+        return await self._restore_from_down(record) if record.state is VmState.DOWN else None
 
     async def _restore_from_down(self, vm: Vm) -> Failure | None:
         """Moves a VM out of state `down`: to `ready`, or to `drained` if it is under a permit."""
@@ -258,15 +260,15 @@
     async def _mark_drained_if_empty(self, *, vm: str, request: SyncRequest) -> None:
         """Marks a VM as drained when its worker has no tasks and its endpoints have no requests."""
         tables = self.replica.state.tables
-        known, permit = tables.vms[vm], tables.permits.get(vm)
-        if known.state is not VmState.DRAINING or permit is None or not self.freshness.is_valid:
+        record, permit = tables.vms[vm], tables.permits.get(vm)
+        if record.state is not VmState.DRAINING or permit is None or not self.freshness.is_valid:
             return
         if request.running or request.ended or self.replica.state.indexes.running.get(vm):
             return
         if not permit.stop_work and await self.count_requests(vm, request.requests) != 0:
             return
         command = ChangeVm(
-            vm=vm, state=VmState.DRAINED, expected_epoch=known.epoch, reason="no task and no request left"
+            vm=vm, state=VmState.DRAINED, expected_epoch=record.epoch, reason="no task and no request left"
         )
         if (await self.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S)).is_ok():
             log_event(Event.VM_STATE_CHANGED, vm=vm, state=command.state, reason=command.reason)
@@ -281,9 +283,9 @@
         start_within_s = AUTHORITY_TTL_S - self.freshness.age_s
         if start_within_s <= 0:
             return []
-        known = _list_reported_runs(request)
+        reported = _list_reported_runs(request)
         jobs = self.jobs_on(vm.name)
-        waiting = [job for job in jobs if job.run and (job.job_id, job.run.epoch) not in known]
+        waiting = [job for job in jobs if job.run and (job.job_id, job.run.epoch) not in reported]
         orders = []
         for job in waiting:
             reason = self._explain_no_start(job, vm=vm)
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -116,7 +116,7 @@
 
 
 async def test_endpoints_leave_while_their_vm_drains(home):
-    """Guards against a drain that never ends because the VM's endpoints still receive requests."""
+    """Guards against a drain that waits for an entry which may still send requests to the VM's endpoints."""
     assert not (await home.reply()).leave
     _drain(home)
     assert (await home.reply()).leave
