--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -7,11 +7,11 @@
 import pytest
 
 from hyssopway.workflow import Capacity
-from hyssopway_platform.bad_input import BadInputError
-from hyssopway_platform.job_body import decode_job
+from hyssopway_platform.invalid_input import InvalidInputError
+from hyssopway_platform.job_request import decode_job
 from hyssopway_platform.manifest import decode_manifest
 from hyssopway_platform.vm_report import decode_report
-from hyssopway_platform.wave_order import decode_wave
+from hyssopway_platform.wave_request import decode_wave
 
 MANIFEST = {
     "version": 7,
@@ -77,7 +77,7 @@
 )
 def test_invalid_manifest_is_refused(body):
     """Guards against an invalid manifest that comes into force."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_manifest(body)
 
 
@@ -102,7 +102,7 @@
 )
 def test_report_of_another_writer_is_refused(body):
     """Guards against a VM that does not exist being used."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_report(vm="i-1", body=body)
 
 
@@ -126,7 +126,7 @@
 )
 def test_invalid_job_is_refused(job):
     """Guards against a job that can never end being accepted."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_job(json.dumps(job).encode())
 
 
@@ -134,5 +134,5 @@
 def test_wave_without_room_or_time_is_refused(limit, duration):
     """Guards against a wave that can never be completed."""
     body = {"wave": 1, "machines": ["m"], "duration_s": duration, "upper_limit": limit}
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_wave(json.dumps(body).encode())
--- a/tests/adapter/test_fuzzed_input.py
+++ b/tests/adapter/test_fuzzed_input.py
@@ -17,11 +17,11 @@
 from hyssopway.dispatch import WorkerUnreachableError
 from hyssopway.relay.relayed_request import RelayedRequest
 from hyssopway.workflow import AcceptWorkflow, PutDocument, WorkflowState, encode_command
-from hyssopway_platform.bad_input import BadInputError
-from hyssopway_platform.job_body import decode_job
+from hyssopway_platform.invalid_input import InvalidInputError
+from hyssopway_platform.job_request import decode_job
 from hyssopway_platform.manifest import decode_manifest
 from hyssopway_platform.vm_report import decode_report
-from hyssopway_platform.wave_order import decode_wave
+from hyssopway_platform.wave_request import decode_wave
 from hyssopway_platform.worker_client import _decode_object, _decode_poll
 
 FRESH = bool(os.environ.get("FUZZ_FRESH"))
@@ -147,7 +147,7 @@
     body = json.dumps(data.draw(mutated(valid))).encode()
     try:
         decoded = decode(body)
-    except BadInputError:
+    except InvalidInputError:
         return
     state = _agree(decoded)
     restored = WorkflowState()
@@ -160,7 +160,7 @@
 @given(body=st.one_of(st.binary(max_size=64), st.just(b"[" * 100_000), st.just(b'{"a":' * 50_000)))
 def test_bytes_that_are_no_message_are_refused_in_words(name, body):
     """Guards against bytes that cannot be read and end more than their own request."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         DECODERS[name][1](body)
 
 
@@ -202,7 +202,7 @@
 )
 def test_schedule_that_no_leader_can_hold_is_refused(change):
     """Guards against one job that keeps the leader from everything else, on each new leader again."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_job(json.dumps(JOB | change).encode())
 
 
@@ -210,11 +210,11 @@
 def test_negative_amounts_are_refused(field):
     """Guards against a task that makes a full VM look empty."""
     job = {"specification": "", "steps": [{"count": 1, field: -4000}]}
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_job(json.dumps(job).encode())
 
 
 def test_wave_without_an_end_is_refused():
     """Guards against a duration that is no finite number of milliseconds; found by fresh fuzzing."""
-    with pytest.raises(BadInputError):
+    with pytest.raises(InvalidInputError):
         decode_wave(json.dumps(WAVE | {"duration_s": 1.797693134862316e305}).encode())
--- a/tests/adapter/test_connections.py
+++ b/tests/adapter/test_http_session.py
@@ -7,7 +7,7 @@
 import aiohttp
 import pytest
 
-from hyssopway_platform.connections import new_session
+from hyssopway_platform.http_session import new_session
 
 
 async def test_request_that_was_given_up_is_reset_and_not_delivered():
@@ -25,7 +25,7 @@
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    session = new_session(connections_a_host=1)
+    session = new_session(connections_per_host=1)
     with pytest.raises(TimeoutError):
         await session.post(
             f"http://127.0.0.1:{port}/order", timeout=aiohttp.ClientTimeout(total=0.1), json={"run": 1}
