--- a/src/hyssopway/event/__init__.py
+++ b/src/hyssopway/event/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered log events and the set-up of ``loguru``."""
+"""Numbered log events and the configuration of ``loguru``."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/event/catalogue.py
+++ b/src/hyssopway/event/catalogue.py
@@ -1,4 +1,4 @@
-"""Catalogue of log events; `docs/events.md` has the table."""
+"""Catalogue of log events; `docs/events.md` documents them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,27 @@
     DAEMON_STARTED = (
         1001,
         "INFO",
-        "daemon {daemon} in zone {zone} serves HTTP on {http} and peers on {peer}",
+        "daemon {daemon} in zone {zone} listens for HTTP on {http} and for peers on {peer}",
     )
-    DAEMON_STOPPING = (1002, "INFO", "daemon stops: {open_requests} requests in progress")
+    DAEMON_STOPPING = (1002, "INFO", "daemon is stopping, {open_requests} requests in progress")
     DAEMON_STOPPED = (1003, "INFO", "daemon stopped")
     SETTINGS_RELOADED = (1004, "INFO", "settings reloaded from {path}")
     SETTINGS_REJECTED = (1005, "ERROR", "settings are invalid: {problem}")
     STATE_DUMPED = (1006, "INFO", "state dumped to {path}")
     TASK_FAILED = (1007, "ERROR", "task {task} failed and is restarted: {error}")
-    SETTINGS_NEED_RESTART = (1008, "WARNING", "settings {fields} change only with a restart")
+    SETTINGS_NEED_RESTART = (1008, "WARNING", "changed settings {fields} take effect only after a restart")
     HTTP_HANDLER_FAILED = (1009, "ERROR", "{method} {path} failed: {error}")
     DAEMON_DRAINING = (1010, "INFO", "daemon reports itself unhealthy and stops in {seconds:.1f} s")
     ELECTION_STARTED = (2001, "INFO", "election for term {term} started")
-    LEADER_ELECTED = (2002, "INFO", "this member leads term {term}")
-    LEADER_STEPPED_DOWN = (2003, "WARNING", "leader of term {term} steps down: {reason}")
-    QUORUM_LOST = (2004, "ERROR", "no quorum: {reachable} of {voters} voters answer")
-    LOG_TRUNCATED_AT_TAIL = (2005, "WARNING", "log ended in a torn record, {dropped_bytes} bytes dropped")
-    LOG_DAMAGED = (2006, "CRITICAL", "log is damaged at byte {offset}: {problem}")
+    LEADER_ELECTED = (2002, "INFO", "this member was elected leader of term {term}")
+    LEADER_STEPPED_DOWN = (2003, "WARNING", "leader of term {term} stepped down: {reason}")
+    QUORUM_LOST = (2004, "ERROR", "quorum lost: {reachable} of {voters} voters are reachable")
+    LOG_TRUNCATED_AT_TAIL = (
+        2005,
+        "WARNING",
+        "log ended in an incomplete record, {dropped_bytes} bytes truncated",
+    )
+    LOG_DAMAGED = (2006, "CRITICAL", "log is corrupt at byte {offset}: {problem}")
     STORAGE_FAILED = (2007, "ERROR", "storage failed: {error}")
     SNAPSHOT_WRITTEN = (2008, "INFO", "snapshot at index {index} written, {size_bytes} bytes")
     SNAPSHOT_INSTALLED = (2009, "INFO", "snapshot at index {index} installed")
@@ -35,65 +39,81 @@
     DISK_STALLED = (
         2011,
         "ERROR",
-        "own disk holds up the group: synced up to {synced_index}, a quorum of the others up to {index}",
+        "local disk delays the cluster: synced to index {synced_index}, a quorum of the other voters to {index}",
+    )
+    MEMBER_CHANGE_ASKED = (2012, "INFO", "operator {operator} requested to {action} member {member}")
+    INITIALISE_REFUSED = (2013, "ERROR", "initialisation of a new cluster refused: {reason}")
+    MEMBER_WAITS = (
+        2014,
+        "WARNING",
+        "member {member} belongs to no cluster and waits for an operator to add it",
     )
-    MEMBER_CHANGE_ASKED = (2012, "INFO", "operator {operator} asks to {action} member {member}")
-    INITIALISE_REFUSED = (2013, "ERROR", "no new group is started: {reason}")
-    MEMBER_WAITS = (2014, "WARNING", "member {member} is in no group and waits to be added by an operator")
     PEER_CONNECTED = (2101, "DEBUG", "connected to peer {peer}")
     PEER_LOST = (2102, "WARNING", "connection to peer {peer} lost: {error}")
     PEER_REFUSED = (2103, "WARNING", "peer connection refused: {reason}")
     AUTHORITY_EXPIRED = (
         2201,
         "WARNING",
-        "agreed state not confirmed for {age_s:.1f} s, keyed work is refused",
+        "replicated state not confirmed for {age_s:.1f} s, requests that need a key are refused",
     )
-    AUTHORITY_CONFIRMED = (2202, "INFO", "agreed state confirmed again")
-    DOCUMENT_IN_FORCE = (3001, "INFO", "{environment} document generation {generation} is in force")
+    AUTHORITY_CONFIRMED = (2202, "INFO", "replicated state is confirmed again")
+    DOCUMENT_IN_FORCE = (3001, "INFO", "{environment} document generation {generation} is active")
     KEY_GRANTED = (3002, "INFO", "key {key} granted to team {team}")
     KEY_WITHDRAWN = (3003, "INFO", "key {key} withdrawn")
     ZONE_CHANGED = (3004, "INFO", "zone {zone} is {status}")
     ENDPOINT_ANNOUNCED = (4001, "INFO", "endpoint {endpoint} of service {service} announced")
     ENDPOINT_LEFT = (4002, "INFO", "endpoint {endpoint} left: {reason}")
-    ENDPOINT_EJECTED = (4003, "WARNING", "endpoint {endpoint} taken out for {for_s:.1f} s: {reason}")
+    ENDPOINT_EJECTED = (4003, "WARNING", "endpoint {endpoint} ejected for {for_s:.1f} s: {reason}")
     REQUEST_REFUSED = (4004, "DEBUG", "request to {service} refused: {code} {message}")
     REQUEST_FAILED = (4005, "WARNING", "request to {service} failed: {code} {message}")
     CLAIM_UNRESOLVED = (4006, "WARNING", "outcome of claim {claim} is unknown")
-    ANSWER_ABORTED = (4008, "WARNING", "answer of {endpoint} was cut short, caller aborted: {error}")
+    ANSWER_ABORTED = (
+        4008,
+        "WARNING",
+        "response of {endpoint} was incomplete, connection to the caller aborted: {error}",
+    )
     HOLDERS_SILENT = (
         4007,
         "WARNING",
-        "endpoint {endpoint} changed its home; {daemons} did not say which credits they hold",
+        "endpoint {endpoint} changed its home; {daemons} did not report the credits they hold",
     )
-    WORKER_CONNECTED = (5001, "INFO", "worker {vm} syncs here, home epoch {epoch}")
-    WORKER_LOST = (5002, "WARNING", "worker {vm} is silent for {silent_s:.1f} s")
+    WORKER_CONNECTED = (5001, "INFO", "worker {vm} syncs with this daemon, home epoch {epoch}")
+    WORKER_LOST = (5002, "WARNING", "lease of worker {vm} expired, no contact for {silent_s:.1f} s")
     JOB_PLACED = (5003, "DEBUG", "job {job} run {epoch} placed on {vm}: {reason}")
     JOB_ENDED = (5004, "DEBUG", "job {job} ended: {outcome}")
     VM_QUARANTINED = (5005, "WARNING", "VM {vm} quarantined: {reason}")
     VM_RELEASED = (5006, "INFO", "VM {vm} released from quarantine")
     JOB_RECLAIMED = (5007, "INFO", "job {job} reclaimed from {vm} by {action}: {reason}")
-    HOME_LOST = (5008, "WARNING", "home {home} is out of contact for {silent_s:.0f} s, its runs are ended")
+    HOME_LOST = (5008, "WARNING", "no contact with home {home} for {silent_s:.0f} s, its runs are ended")
     VM_STATE_CHANGED = (6001, "INFO", "VM {vm} is {state}: {reason}")
     VM_MOVED = (6002, "INFO", "VM {vm} moved from pool {source} to pool {target}: {reason}")
     WAVE_CHANGED = (6003, "INFO", "wave {wave} is {status}: {reason}")
     PERMIT_REFUSED = (6004, "INFO", "permit for {vm} refused: {reason}")
     PLATFORM_FAILED = (6005, "WARNING", "platform call {call} failed: {error}")
-    OPERATOR_NEEDED = (6006, "WARNING", "{subject} needs a decision: {question}")
-    BUDGET_BROKEN = (6007, "ERROR", "failures alone exceed a budget, all planned stops wait: {reason}")
-    BUDGET_RESTORED = (6008, "INFO", "failures are within all budgets again, planned stops go on")
+    OPERATOR_NEEDED = (6006, "WARNING", "{subject} needs a decision by an operator: {question}")
+    BUDGET_BROKEN = (
+        6007,
+        "ERROR",
+        "failures alone exceed an availability budget, planned stops are suspended: {reason}",
+    )
+    BUDGET_RESTORED = (
+        6008,
+        "INFO",
+        "failures are within all availability budgets again, planned stops resume",
+    )
     WAVE_ADVANCED = (6009, "INFO", "{wave}: VM {vm} is {status}")
 
-    COMMAND_UNKNOWN = (7001, "ERROR", "entry {index} of the log is unknown to this release: {error}")
+    COMMAND_UNKNOWN = (7001, "ERROR", "log entry {index} is unknown to this release: {error}")
     VM_ANNOUNCED = (7002, "INFO", "VM {vm} of pool {pool} at {address} announced, draining {draining}")
-    VM_HELD = (7003, "INFO", "VM {vm} holds {runs} runs under token {token}")
+    VM_HELD = (7003, "INFO", "VM {vm} acknowledged fencing token {token} and lists {runs} runs")
     VM_SILENT = (7004, "WARNING", "VM {vm} at {address} does not answer: {reason}")
     VM_GONE = (7005, "INFO", "VM {vm} is gone: {reason}")
-    LEASE_ENDED = (7006, "WARNING", "the lease of {runs} runs on VM {vm} has ended without contact")
-    RUNS_ORDERED = (7007, "INFO", "{count} runs ordered")
-    RUN_ENDED = (7008, "INFO", "run {run} on VM {vm} ended {outcome}")
+    LEASE_ENDED = (7006, "WARNING", "lease of {runs} runs on VM {vm} expired without contact")
+    RUNS_ORDERED = (7007, "INFO", "{count} runs ordered to start")
+    RUN_ENDED = (7008, "INFO", "run {run} on VM {vm} ended: {outcome}")
     ORDER_REFUSED = (7009, "WARNING", "{order} of run {run} refused by VM {vm}: {reason}")
     ORDER_UNANSWERED = (7010, "WARNING", "{order} of run {run} to VM {vm} got no answer: {reason}")
-    DECISIONS_STOPPED = (7011, "WARNING", "decisions of term {term} stop: {reason}")
+    DECISIONS_STOPPED = (7011, "WARNING", "leader of term {term} stopped making decisions: {reason}")
     TASK_ENDED = (7012, "INFO", "task {task} ended: {reason}")
     WORKFLOW_ACCEPTED = (7013, "INFO", "workflow {workflow} accepted in queue {queue} for team {team}")
     WORKFLOW_REFUSED = (7014, "INFO", "workflow {workflow} refused with {status}: {reason}")
@@ -101,40 +121,52 @@
     FLEET_DOCUMENT_STORED = (
         7016,
         "INFO",
-        "fleet document version {version} stored, version {stored} in force",
+        "fleet document version {version} received, version {stored} is active",
     )
     FLEET_DOCUMENT_REFUSED = (7017, "WARNING", "fleet document refused: {reason}")
     EVACUATION_CHANGED = (7018, "INFO", "zone {zone} evacuated: {evacuated}")
     RELAY_FAILED = (
         7019,
         "WARNING",
-        "{method} {path} got no answer of a leader after {waited_ms} ms: {reason}",
+        "{method} {path} got no answer from a leader within {waited_ms} ms: {reason}",
     )
     LEADER_FOUND = (7020, "INFO", "leader is {leader}")
     LEADER_MISSING = (7021, "WARNING", "no leader is known: {reason}")
     MEMBER_JOINS = (7022, "INFO", "member {member} asks to join")
     MEMBER_CHANGED = (7023, "INFO", "{change}: {result}")
-    DECISIONS_STARTED = (7024, "INFO", "decisions of term {term} start with {workflows} workflows, {vms} VMs")
-    MAINTENANCE_ORDERED = (7025, "INFO", "maintenance of machine {machine} in wave {wave}: {result}")
+    DECISIONS_STARTED = (
+        7024,
+        "INFO",
+        "leader of term {term} starts with {workflows} workflows and {vms} VMs",
+    )
+    MAINTENANCE_ORDERED = (7025, "INFO", "maintenance of machine {machine} in wave {wave} ordered: {result}")
     WAVE_STARTED = (
         7026,
         "INFO",
-        "wave {wave} of {machines} machines, {max_down} at once, until {deadline_ms}",
+        "wave {wave} started: {machines} machines, at most {max_down} down at once, deadline {deadline_ms}",
     )
-    VM_CLOSED = (7028, "INFO", "VM {vm} gets no starts: {reason}")
+    VM_CLOSED = (7028, "INFO", "VM {vm} cordoned: {reason}")
     POOL_LOAD = (
         7029,
         "INFO",
-        "pool {pool}: {vms} VMs of {capacity} cores, {steady} steady and {short} short in use, {waiting} waiting",
+        "pool {pool}: {vms} VMs, {capacity} cores; in use: {steady} long-running, {short} short; {waiting} waiting",
     )
-    MACHINE_MOVED = (7030, "INFO", "machine {machine} moves from pool {source} to pool {target}: {result}")
-    RUN_STALLED = (7031, "WARNING", "run {run} on VM {vm} stands still at {percent}%")
+    MACHINE_MOVED = (
+        7030,
+        "INFO",
+        "move of machine {machine} from pool {source} to pool {target} ordered: {result}",
+    )
+    RUN_STALLED = (7031, "WARNING", "run {run} on VM {vm} stalled at {percent}%")
     STOP_ORDERED = (7032, "INFO", "stop of run {run} ordered on VM {vm}: {reason}")
-    WORKFLOWS_FORGOTTEN = (7033, "INFO", "{count} workflows that ended long ago forgotten, {left} left")
+    WORKFLOWS_FORGOTTEN = (
+        7033,
+        "INFO",
+        "{count} ended workflows deleted after their retention period, {left} left",
+    )
     PACE_ORDERED = (7034, "INFO", "pace of run {run} on VM {vm} ordered to {percent}%")
-    ADVICE_TAKEN = (7035, "INFO", "step {step} may run on {good} of {vms} VMs")
-    ADVICE_FAILED = (7036, "WARNING", "advice on step {step} and {vms} VMs failed: {reason}")
-    COMMAND_FAILED = (7037, "ERROR", "entry {index} of the log, a {kind}, cannot be applied: {error}")
+    ADVICE_TAKEN = (7035, "INFO", "advisor allows step {step} on {good} of {vms} VMs")
+    ADVICE_FAILED = (7036, "WARNING", "advice request for step {step} and {vms} VMs failed: {reason}")
+    COMMAND_FAILED = (7037, "ERROR", "log entry {index} of kind {kind} cannot be applied: {error}")
     INPUT_REFUSED = (7027, "WARNING", "{method} {path} refused: {reason}")
 
     @property
--- a/src/hyssopway/event/line_sink.py
+++ b/src/hyssopway/event/line_sink.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for the reader."""
+"""Writes log lines without blocking on a slow reader."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-MAX_LINES_A_SECOND = 100  # of one event number
+MAX_LINES_PER_SECOND = 100  # per event number
 
 
 class LineSink:
-    """Sink of loguru that writes one compact JSON object a line.
+    """Loguru sink that writes one compact JSON object per line.
 
-    Lines are left out, and counted, when one event comes too often or when the reader does not keep up.
+    Lines are dropped and counted when an event exceeds its rate limit or when the reader is too slow.
 
     Attributes:
-        descriptor: Where lines go; it is made non-blocking.
-        clock: Monotonic seconds.
-        counts: Lines of the present second by event.
-        dropped: Lines left out by event since they were last reported.
-        second: The present second.
-        rest: End of a line that the reader has not taken yet.
+        descriptor: File descriptor of the output, set to non-blocking.
+        clock: Returns monotonic seconds.
+        counts: Lines in the current second by event.
+        dropped: Lines dropped by event since they were last reported.
+        second: The current second.
+        unsent: Remainder of a line that was written only in part.
     """
 
-    __slots__ = ("clock", "counts", "descriptor", "dropped", "rest", "second")
+    __slots__ = ("clock", "counts", "descriptor", "dropped", "second", "unsent")
 
     def __init__(self, *, stream: TextIO, clock: Callable[[], float] = time.monotonic) -> None:
         self.descriptor = stream.fileno()
@@ -36,14 +36,14 @@
         self.counts: dict[Any, int] = {}
         self.dropped: dict[Any, int] = {}
         self.second = 0
-        self.rest = b""
+        self.unsent = b""
 
     def __call__(self, message: Any) -> None:
         """Writes one record."""
         record = message.record
         extra = dict(record["extra"])
         event = extra.pop("event", "-")
-        if not self._admit(event):
+        if not self._is_within_limit(event):
             self.dropped[event] = self.dropped.get(event, 0) + 1
             return
         line = {
@@ -60,22 +60,23 @@
         else:
             self.dropped[event] = self.dropped.get(event, 0) + 1
 
-    def _admit(self, event: Any) -> bool:
+    def _is_within_limit(self, event: Any) -> bool:
         second = int(self.clock())
         if second != self.second:
             self.second = second
             self.counts = {}
         self.counts[event] = self.counts.get(event, 0) + 1
-        return self.counts[event] <= MAX_LINES_A_SECOND
+        return self.counts[event] <= MAX_LINES_PER_SECOND
 
     def _write(self, line: bytes) -> bool:
         try:
-            if self.rest:
-                self.rest = self.rest[os.write(self.descriptor, self.rest) :]
-            if self.rest:
+            if self.unsent:
+                self.unsent = self.unsent[os.write(self.descriptor, self.unsent) :]
+            if self.unsent:
                 return False
-            self.rest = line[os.write(self.descriptor, line) :]
-        except OSError:  # the reader is slow or gone, or the disk is full; decisions go on without a log
+            self.unsent = line[os.write(self.descriptor, line) :]
+        except OSError:
+            # The reader is slow or gone, or the disk is full. Lost log lines must not stop the program.
             return False
         return True
 
--- a/src/hyssopway/event/log.py
+++ b/src/hyssopway/event/log.py
@@ -1,4 +1,4 @@
-"""Writes numbered events through ``loguru``."""
+"""Logs numbered events with ``loguru``."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def set_up_logging(*, level: str, json_output: bool) -> None:
-    """Sends log events to standard error.
+    """Configures logging to standard error.
 
     Args:
-        level: Lowest level that is written.
-        json_output: One JSON object a line instead of text.
+        level: Minimum level.
+        json_output: Whether to write one JSON object per line instead of text.
     """
     logger.remove()
     logger.configure(extra={"event": "-"})
@@ -28,11 +28,11 @@
 
 
 def set_up_line_logging(*, level: str, stream: TextIO) -> None:
-    """Sends log events to a stream as one compact JSON object a line, bounded and without waiting.
+    """Configures logging to a stream: one compact JSON object per line, rate-limited and non-blocking.
 
     Args:
-        level: Lowest level that is written.
-        stream: Where lines go.
+        level: Minimum level.
+        stream: Output stream with a file descriptor.
     """
     logger.remove()
     logger.configure(extra={"event": "-"})
@@ -40,7 +40,7 @@
 
 
 def log_event(event: Event, **fields: object) -> None:
-    """Writes one event with its fields."""
+    """Logs an event with its fields."""
     logger.bind(event=event.number, **fields).log(event.level, event.template.format(**fields))
 
 
--- a/src/hyssopway/result/__init__.py
+++ b/src/hyssopway/result/__init__.py
@@ -1,4 +1,4 @@
-"""Numbered result codes and the failure value carried by ``expression`` results."""
+"""Numbered result codes and the error value of ``expression`` results."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/result/code.py
+++ b/src/hyssopway/result/code.py
@@ -1,4 +1,4 @@
-"""Numbered result codes; `docs/errors.md` has the table."""
+"""Numbered result codes; `docs/errors.md` documents them."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ResultCode(IntEnum):
-    """Number of an outcome, stable across releases.
+    """Result code of an operation; the numbers are stable across releases.
 
-    1xx malformed input, 2xx identity, 3xx conflicts between operators, 4xx request path,
-    5xx agreement, 6xx documents and settings, 7xx jobs, 8xx fleet, 9xx internal.
+    1xx malformed input, 2xx authentication and authorisation, 3xx conflicts between operators,
+    4xx request path, 5xx consensus and storage, 6xx documents and settings, 7xx jobs, 8xx fleet, 9xx internal.
     """
 
     OK = 0
--- a/src/hyssopway/result/failure.py
+++ b/src/hyssopway/result/failure.py
@@ -1,4 +1,4 @@
-"""The error side of every ``expression`` result."""
+"""Error value of ``expression`` results."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Failure:
-    """Why an operation did not succeed.
+    """Reason why an operation failed.
 
     Attributes:
-        code: Number of the failure.
-        message: What happened and what the caller can do about it.
-        work: Whether the requested work ran.
-        retry_after_s: Seconds after which a new try makes sense, if known.
+        code: Result code of the failure.
+        message: Description of the failure and of what the caller can do about it.
+        work: Whether the requested work has run.
+        retry_after_s: Seconds after which a retry may succeed; None if unknown.
     """
 
     code: ResultCode
--- a/src/hyssopway/result/http_status.py
+++ b/src/hyssopway/result/http_status.py
@@ -64,7 +64,7 @@
 
 
 def http_status(code: ResultCode) -> HTTPStatus:
-    """Returns the HTTP status that a result code is answered with."""
+    """Returns the HTTP status for a result code; 503 if the code has no entry."""
     return _STATUS.get(code, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
--- a/src/hyssopway/result/work_state.py
+++ b/src/hyssopway/result/work_state.py
@@ -1,4 +1,4 @@
-"""What is known about the work behind a failed request."""
+"""State of the work of a failed request."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class WorkState(StrEnum):
-    """Whether the requested work ran."""
+    """Whether the requested work has run."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,4 +1,4 @@
-"""A leader behind the platform's interface, without a network."""
+"""Fixtures: the platform service on a leader, called without a network."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 
 
 class FakeMember:
-    """A member that a quorum confirms."""
+    """Consensus member whose reads are always confirmed."""
 
     async def read_index(self, *, timeout_s):
         return Ok(1)
 
 
 class FakeLeaderController:
-    """Takes announcements straight into the agreed state."""
+    """Records announcements and applies them to the replicated state at once."""
 
     def __init__(self):
         self.leadership = FakeLeadership()
         self.leadership.member = FakeMember()
-        self.announced = []
+        self.announcements = []
 
     async def handle_announcement(self, command):
-        self.announced.append(command)
+        self.announcements.append(command)
         await self.leadership.propose(command)
 
     async def handle_departure(self, *, vm):
-        self.announced.append(vm)
+        self.announcements.append(vm)
 
 
 class Client:
-    """Sends requests to the service."""
+    """Sends requests to the service and decodes the replies."""
 
     def __init__(self):
         self.controller = FakeLeaderController()
@@ -80,11 +80,11 @@
 
 
 @pytest.fixture
-def bare():
+def client_without_manifest():
     return Client()
 
 
 @pytest.fixture
-async def client(bare):
-    assert (await bare.control("PUT", "config", MANIFEST))[0] == 200
-    return bare
+async def client(client_without_manifest):
+    assert (await client_without_manifest.control("PUT", "config", MANIFEST))[0] == 200
+    return client_without_manifest
--- a/tests/adapter/test_advisor_client.py
+++ b/tests/adapter/test_advisor_client.py
@@ -1,4 +1,4 @@
-"""Questions to the advisor over HTTP, and answers that say nothing."""
+"""Advisor client: requests over HTTP and invalid answers."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from hyssopway_platform.advisor_client import AdvisorClient
 
 
-class Advisor:
-    """Answers as told and keeps what it was asked."""
+class FakeAdvisor:
+    """Fake advisor with a configurable answer; records the requests."""
 
     def __init__(self):
         self.status = 200
         self.body = b'{"good":[["vm-1","t-1"]]}'
-        self.asked = []
+        self.requests = []
 
     async def answer(self, request):
-        self.asked.append((request.path, await request.json()))
+        self.requests.append((request.path, await request.json()))
         return web.Response(status=self.status, body=self.body, content_type="application/json")
 
 
 @pytest.fixture
 def advisor():
-    return Advisor()
+    return FakeAdvisor()
 
 
 @pytest.fixture
@@ -35,24 +35,24 @@
     app = web.Application()
     app.router.add_post("/hyssopway/advise", advisor.answer)
     async with TestServer(app) as server:
-        built = AdvisorClient(address=f"{server.host}:{server.port}")
-        await built.open()
-        yield built
-        await built.close()
+        created = AdvisorClient(address=f"{server.host}:{server.port}")
+        await created.open()
+        yield created
+        await created.close()
 
 
 async def ask(client):
     return await client.advise(step="w.0.1", vms=("vm-1", "vm-2"), timeout_s=0.5)
 
 
-async def test_question_names_step_and_vms(client, advisor):
-    """Guards against a question that the platform does not understand."""
+async def test_request_names_step_and_vms(client, advisor):
+    """Guards against a request whose format the advisor does not accept."""
     assert await ask(client) == {"vm-1": "t-1"}
-    assert advisor.asked == [("/hyssopway/advise", {"step": "w.0.1", "workers": ["vm-1", "vm-2"]})]
+    assert advisor.requests == [("/hyssopway/advise", {"step": "w.0.1", "workers": ["vm-1", "vm-2"]})]
 
 
-async def test_vm_that_was_not_asked_about_gets_no_ticket(client, advisor):
-    """Guards against an answer to another question."""
+async def test_tickets_of_unrequested_vms_are_dropped(client, advisor):
+    """Guards against accepting tickets of VMs that were not in the request, or empty tickets."""
     advisor.body = json.dumps({"good": [["vm-9", "t-9"], ["vm-2", ""]]}).encode()
     assert await ask(client) == {}
 
@@ -68,15 +68,15 @@
         pytest.param(200, b"[" * 100_000, id="nested too deeply"),
     ],
 )
-async def test_answer_that_says_nothing_is_an_error(client, advisor, status, body):
-    """Guards against questions that end, or takes silence for a refusal of all VMs."""
+async def test_invalid_answer_is_an_error(client, advisor, status, body):
+    """Guards against a crash of the caller, and against treating an invalid answer as a refusal of all VMs."""
     advisor.status, advisor.body = status, body
     with pytest.raises(AdviceError):
         await ask(client)
 
 
 async def test_deployment_without_advisor_is_an_error():
-    """Guards against a call to an empty address."""
+    """Guards against a request to an empty address."""
     client = AdvisorClient(address="")
     await client.open()
     with pytest.raises(AdviceError):
--- a/tests/adapter/test_caller_api.py
+++ b/tests/adapter/test_caller_api.py
@@ -1,4 +1,4 @@
-"""Calls of clients: one job, its state, its end."""
+"""Caller API: submitting, reading and cancelling jobs."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 ID = "5c0e7a21d94b36f8"
 
 
-async def test_call_before_the_first_manifest_is_told_to_come_back(bare):
-    """Guards against a 404 for a queue that is only not known yet."""
-    assert (await bare.call("POST", f"/p/{ID}", JOB))[0] == 503
+async def test_call_before_the_first_manifest_is_answered_with_503(client_without_manifest):
+    """Guards against a 404 while the queues are not known yet; callers would not retry it."""
+    assert (await client_without_manifest.call("POST", f"/p/{ID}", JOB))[0] == 503
 
 
-async def test_job_from_hand_in_to_cancel(client):
-    """Guards against a state that clients cannot follow."""
+async def test_job_is_submitted_read_and_cancelled(client):
+    """Guards against a wrong job state or queue length at any stage."""
     assert (await client.call("GET", f"/p/{ID}"))[0] == 410
     assert (await client.call("POST", f"/p/{ID}", JOB))[0] == 200
     assert await client.call("GET", f"/p/{ID}") == (200, {"state": "queued"})
@@ -24,8 +24,8 @@
     assert await client.call("GET", "/p/") == (200, {"pending": 0})
 
 
-async def test_second_hand_in_is_the_same_job(client):
-    """Guards against a resent job that starts again after its end."""
+async def test_retried_submission_does_not_restart_the_job(client):
+    """Guards against a retried submission that restarts a job after its end."""
     await client.call("POST", f"/p/{ID}", JOB)
     await client.call("DELETE", f"/p/{ID}")
     assert (await client.call("POST", f"/p/{ID}", JOB))[0] == 200
@@ -43,13 +43,13 @@
         pytest.param("PATCH", f"/p/{ID}", "key-1", 405, id="unknown method"),
     ],
 )
-async def test_access(client, method, path, key, status):
-    """Guards against work that is accepted for nobody, or refused though it is allowed."""
+async def test_status_depends_on_key_and_queue(client, method, path, key, status):
+    """Guards against accepting jobs without a valid key or queue, and against refusing allowed ones."""
     assert (await client.call(method, path, JOB, key=key))[0] == status
 
 
-async def test_job_belongs_to_the_team_whose_key_came_with_it(client):
-    """Guards against a team that reads or cancels the work of another."""
+async def test_job_is_visible_only_to_its_team(client):
+    """Guards against a team that reads or cancels a job of another team."""
     await client.call("POST", f"/p/{ID}", JOB)
     assert (await client.call("GET", f"/p/{ID}", key="key-2"))[0] == 410
     assert (await client.call("DELETE", f"/p/{ID}", key="key-2"))[0] == 410
@@ -61,14 +61,14 @@
     [(b"{", 400), ({"steps": []}, 400), (b" " * 500, 413)],
     ids=["cut short", "no steps", "too long"],
 )
-async def test_bad_job_is_refused_and_never_known(client, body, status):
-    """Guards against a job that cannot be read being accepted."""
+async def test_invalid_job_is_refused_and_not_stored(client, body, status):
+    """Guards against accepting an invalid or oversized job."""
     assert (await client.call("POST", f"/p/{ID}", body))[0] == status
     assert (await client.call("GET", f"/p/{ID}"))[0] == 410
 
 
-async def test_withdrawn_key_and_route_are_refused_at_once(client):
-    """Guards against a manifest that is in force only in part."""
+async def test_removed_key_and_route_are_refused_at_once(client):
+    """Guards against a manifest of which only a part becomes active."""
     manifest = {
         "version": 2,
         "routes": [
--- a/tests/adapter/test_http_session.py
+++ b/tests/adapter/test_connections.py
@@ -1,4 +1,4 @@
-"""Requests that were given up."""
+"""Abandoned requests on HTTP sessions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import aiohttp
 import pytest
 
-from hyssopway_platform.http_session import new_session
+from hyssopway_platform.connections import new_session
 
 
-async def test_request_that_was_given_up_is_reset_and_not_delivered():
-    """Guards against an order that waits in a partition and arrives behind those of the next leader."""
+async def test_abandoned_request_is_reset_and_not_delivered():
+    """Guards against an abandoned order that a partition delays and that arrives after those of the next leader."""
     ended = asyncio.get_running_loop().create_future()
 
     async def accept(reader, writer):
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -1,4 +1,4 @@
-"""Input of the platform: what is read and what is refused."""
+"""Decoders of the platform's requests: valid and invalid input."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from hyssopway.workflow import Capacity
-from hyssopway_platform.invalid_input import InvalidInputError
+from hyssopway_platform.bad_input import BadInputError
 from hyssopway_platform.job_request import decode_job
 from hyssopway_platform.manifest import decode_manifest
 from hyssopway_platform.vm_report import decode_report
@@ -51,8 +51,8 @@
     return json.dumps(copy).encode()
 
 
-def test_manifest_is_read():
-    """Guards against fields of the manifest that are mixed up."""
+def test_manifest_is_decoded():
+    """Guards against confusing fields of the manifest."""
     document = decode_manifest(json.dumps(MANIFEST).encode())
     assert (document.version, document.max_body_bytes, document.pools[0].standby) == (7, 500, True)
     assert (document.queues[0].name, document.queues[0].pool) == ("r", "s")
@@ -76,13 +76,13 @@
     ],
 )
 def test_invalid_manifest_is_refused(body):
-    """Guards against an invalid manifest that comes into force."""
-    with pytest.raises(InvalidInputError):
+    """Guards against an invalid manifest that becomes active."""
+    with pytest.raises(BadInputError):
         decode_manifest(body)
 
 
-def test_report_is_read():
-    """Guards against a VM with the wrong pool, boot or state."""
+def test_report_is_decoded():
+    """Guards against registering a VM with the wrong pool, boot or state."""
     report = decode_report(vm="i-1", body=changed(REPORT, ["state"], "draining"))
     registration = report.registration
     assert (registration.vm, registration.pool, registration.boot) == ("i-1", "s", 1775430983000)
@@ -101,13 +101,13 @@
     ],
 )
 def test_report_of_another_writer_is_refused(body):
-    """Guards against a VM that does not exist being used."""
-    with pytest.raises(InvalidInputError):
+    """Guards against registering a VM from an invalid report."""
+    with pytest.raises(BadInputError):
         decode_report(vm="i-1", body=body)
 
 
-def test_job_is_read():
-    """Guards against omitted fields that get another value than none."""
+def test_job_is_decoded():
+    """Guards against wrong defaults of omitted fields."""
     body = {"specification": "x", "steps": [{"count": 2}, {"count": 1, "after": [0], "may_miss": 1}]}
     spec = decode_job(json.dumps(body).encode())
     assert spec.steps[0].disruption_allowance is None
@@ -125,14 +125,14 @@
     ],
 )
 def test_invalid_job_is_refused(job):
-    """Guards against a job that can never end being accepted."""
-    with pytest.raises(InvalidInputError):
+    """Guards against accepting a job that can never end."""
+    with pytest.raises(BadInputError):
         decode_job(json.dumps(job).encode())
 
 
 @pytest.mark.parametrize(("limit", "duration"), [(0, 10), (1, 0)])
-def test_wave_without_room_or_time_is_refused(limit, duration):
-    """Guards against a wave that can never be completed."""
+def test_wave_with_limit_or_duration_of_0_is_refused(limit, duration):
+    """Guards against accepting a wave that can never be completed."""
     body = {"wave": 1, "machines": ["m"], "duration_s": duration, "upper_limit": limit}
-    with pytest.raises(InvalidInputError):
+    with pytest.raises(BadInputError):
         decode_wave(json.dumps(body).encode())
--- a/tests/adapter/test_fuzzed_input.py
+++ b/tests/adapter/test_fuzzed_input.py
@@ -1,6 +1,6 @@
-"""Input of every kind on every decoder: it is refused in words, or it can be agreed on.
+"""Fuzz tests of the decoders: input is either rejected with an error message or can be replicated.
 
-`make test` plays fixed examples. Fresh ones: `make fuzz`.
+`make test` runs fixed examples, `make fuzz` generates new ones.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from hyssopway.dispatch import WorkerUnreachableError
 from hyssopway.relay.relayed_request import RelayedRequest
 from hyssopway.workflow import AcceptWorkflow, PutDocument, WorkflowState, encode_command
-from hyssopway_platform.invalid_input import InvalidInputError
+from hyssopway_platform.bad_input import BadInputError
 from hyssopway_platform.job_request import decode_job
 from hyssopway_platform.manifest import decode_manifest
 from hyssopway_platform.vm_report import decode_report
 from hyssopway_platform.wave_request import decode_wave
 from hyssopway_platform.worker_client import _decode_object, _decode_poll
 
-FRESH = bool(os.environ.get("FUZZ_FRESH"))
+GENERATE_NEW = bool(os.environ.get("FUZZ_FRESH"))
 FUZZ = settings(
-    max_examples=3000 if FRESH else 150,
-    derandomize=not FRESH,
+    max_examples=3000 if GENERATE_NEW else 150,
+    derandomize=not GENERATE_NEW,
     deadline=None,
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.filter_too_much],
 )
@@ -49,12 +49,14 @@
 
 
 def mutated(valid):
-    """Values like a valid one in which some parts are replaced by anything."""
+    """Generates variants of a valid value in which some parts are replaced by arbitrary values."""
     match valid:
         case dict():
-            whole = st.fixed_dictionaries({}, optional={key: mutated(value) for key, value in valid.items()})
+            partial = st.fixed_dictionaries(
+                {}, optional={key: mutated(value) for key, value in valid.items()}
+            )
             full = st.fixed_dictionaries({key: mutated(value) for key, value in valid.items()})
-            return st.one_of(full, full, whole, ANYTHING)
+            return st.one_of(full, full, partial, ANYTHING)
         case list():
             return st.one_of(st.tuples(*(mutated(one) for one in valid)).map(list), st.just(valid), ANYTHING)
         case bool() | str():
@@ -107,7 +109,7 @@
     "born": 17,
 }
 WAVE = {"wave": 1, "machines": ["m-1", "m-2"], "duration_s": 20, "upper_limit": 1}
-HOLD = {
+POLL_ANSWER = {
     "clock_ms": 482113,
     "born": 7,
     "running": [["w.0.0.1", 2, "saved", 41, 7]],
@@ -122,8 +124,8 @@
 }
 
 
-def _agree(decoded):
-    """Applies what was decoded, as a leader does, and returns the state."""
+def _apply_command(decoded):
+    """Encodes and applies the decoded command as a leader does, and returns the state."""
     state = WorkflowState()
     match decoded:
         case object(steps=_):
@@ -141,15 +143,15 @@
 @pytest.mark.parametrize("name", DECODERS)
 @FUZZ
 @given(data=st.data())
-def test_input_is_refused_in_words_or_can_be_agreed_on(name, data):
-    """Guards against a message that ends a handler, or a command that the log cannot hold."""
+def test_input_is_rejected_or_can_be_replicated(name, data):
+    """Guards against input that crashes a handler, and against commands that the log cannot store."""
     valid, decode = DECODERS[name]
     body = json.dumps(data.draw(mutated(valid))).encode()
     try:
         decoded = decode(body)
-    except InvalidInputError:
+    except BadInputError:
         return
-    state = _agree(decoded)
+    state = _apply_command(decoded)
     restored = WorkflowState()
     restored.restore_snapshot(state.encode_snapshot())
     assert restored.tables == state.tables
@@ -158,16 +160,16 @@
 @pytest.mark.parametrize("name", DECODERS)
 @FUZZ
 @given(body=st.one_of(st.binary(max_size=64), st.just(b"[" * 100_000), st.just(b'{"a":' * 50_000)))
-def test_bytes_that_are_no_message_are_refused_in_words(name, body):
-    """Guards against bytes that cannot be read and end more than their own request."""
-    with pytest.raises(InvalidInputError):
+def test_invalid_bytes_are_rejected(name, body):
+    """Guards against invalid bytes that affect more than their own request."""
+    with pytest.raises(BadInputError):
         DECODERS[name][1](body)
 
 
 @FUZZ
-@given(answer=mutated(HOLD))
-def test_list_of_runs_is_read_or_counts_as_no_answer(answer):
-    """Guards against one VM whose answer ends the task that looks at it."""
+@given(answer=mutated(POLL_ANSWER))
+def test_list_of_runs_is_decoded_or_counts_as_no_answer(answer):
+    """Guards against an invalid answer that ends the task that polls the VM."""
     try:
         decoded = _decode_object(json.dumps(answer).encode())
         reply = _decode_poll(decoded)
@@ -178,16 +180,16 @@
 
 @FUZZ
 @given(raw=st.one_of(st.binary(max_size=64), st.just(b"[" * 100_000)))
-def test_bytes_of_a_vm_are_an_object_or_no_answer(raw):
-    """Guards against an answer that cannot be read."""
+def test_answer_of_a_vm_is_an_object_or_counts_as_none(raw):
+    """Guards against an invalid answer that raises an unexpected error."""
     with contextlib.suppress(WorkerUnreachableError):
         assert isinstance(_decode_object(raw), dict)
 
 
 @FUZZ
 @given(data=st.one_of(st.binary(max_size=64), st.lists(SCALARS).map(lambda row: json.dumps(row).encode())))
-def test_relayed_bytes_are_read_or_a_value_error(data):
-    """Guards against a peer whose message ends more than its own call."""
+def test_relayed_request_is_decoded_or_a_value_error(data):
+    """Guards against an invalid message of a peer that affects more than its own call."""
     with contextlib.suppress(ValueError, RecursionError):
         RelayedRequest.decode(data)
 
@@ -200,21 +202,21 @@
         pytest.param({"repeat_count": 2, "interval_ms": -5}, id="schedule that runs backwards"),
     ],
 )
-def test_schedule_that_no_leader_can_hold_is_refused(change):
-    """Guards against one job that keeps the leader from everything else, on each new leader again."""
-    with pytest.raises(InvalidInputError):
+def test_schedule_that_would_block_the_leader_is_refused(change):
+    """Guards against a job whose schedule blocks the leader, and every next leader in turn."""
+    with pytest.raises(BadInputError):
         decode_job(json.dumps(JOB | change).encode())
 
 
 @pytest.mark.parametrize("field", ["cpu", "memory_request_mb", "gpus", "estimated_ms", "anti_affinity"])
 def test_negative_amounts_are_refused(field):
-    """Guards against a task that makes a full VM look empty."""
+    """Guards against a task with a negative size, which would add free capacity to a full VM."""
     job = {"specification": "", "steps": [{"count": 1, field: -4000}]}
-    with pytest.raises(InvalidInputError):
+    with pytest.raises(BadInputError):
         decode_job(json.dumps(job).encode())
 
 
-def test_wave_without_an_end_is_refused():
-    """Guards against a duration that is no finite number of milliseconds; found by fresh fuzzing."""
-    with pytest.raises(InvalidInputError):
+def test_wave_with_infinite_deadline_is_refused():
+    """Guards against a duration that is infinite in milliseconds; found by fuzzing."""
+    with pytest.raises(BadInputError):
         decode_wave(json.dumps(WAVE | {"duration_s": 1.797693134862316e305}).encode())
--- a/tests/adapter/test_guarded_payload.py
+++ b/tests/adapter/test_guarded_payload.py
@@ -1,4 +1,4 @@
-"""Orders whose permission ends between the decision and the write."""
+"""Orders to machines whose permission expires between the decision and the write."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 2\r\n\r\n{}"
 
 
-class Platform:
-    """Takes connections and keeps every byte that arrives."""
+class FakePlatform:
+    """Fake platform that records every byte it receives."""
 
     def __init__(self):
         self.received = b""
@@ -33,17 +33,17 @@
 
 @pytest.fixture
 async def platform():
-    built = Platform()
-    yield built
-    built.server.close()
+    created = FakePlatform()
+    yield created
+    created.server.close()
 
 
 @pytest.fixture
 async def client(platform):
-    built = MachineClient(address=await platform.open(), holder="node-1")
-    await built.open()
-    yield built
-    await built.close()
+    created = MachineClient(address=await platform.open(), holder="node-1")
+    await created.open()
+    yield created
+    await created.close()
 
 
 async def move(client, may_send):
@@ -55,8 +55,8 @@
 
 
 @pytest.mark.parametrize("order", [move, maintain])
-async def test_order_is_not_sent_once_its_permission_has_ended(client, platform, order):
-    """Guards against a leader that was paused after its last check and orders what its successor has ordered."""
+async def test_order_without_permission_is_not_sent(client, platform, order):
+    """Guards against a leader that is paused after its last check and then repeats orders of its successor."""
     with pytest.raises(MachineCallError):
         await order(client, lambda: False)
     await asyncio.sleep(0.05)
@@ -64,16 +64,16 @@
 
 
 @pytest.mark.parametrize("order", [move, maintain])
-async def test_permitted_order_arrives_whole(client, platform, order):
-    """Guards against orders that the check of their permission holds back."""
+async def test_permitted_order_is_sent_completely(client, platform, order):
+    """Guards against a permission check that holds back permitted orders."""
     assert await order(client, lambda: True) is MachineOrderResult.DONE
     head, _, body = platform.received.partition(b"\r\n\r\n")
     assert b"X-Hyssopway-Fencing-Token: 3" in head
     assert b'"machine_id"' in body
 
 
-async def test_permission_is_asked_for_after_the_connection_is_open(client, platform, monkeypatch):
-    """Guards against a check that an opening connection outlasts."""
+async def test_permission_is_checked_after_the_connection_is_open(client, platform, monkeypatch):
+    """Guards against a permission that expires while the connection is opened, after the check."""
     is_permitted = [True]
     connect = client.session.connector.connect
 
--- a/tests/adapter/test_worker_client.py
+++ b/tests/adapter/test_worker_client.py
@@ -1,4 +1,4 @@
-"""Orders to worker VMs over HTTP, against a stand-in that answers as told."""
+"""Worker client: orders and polls over HTTP against a fake VM."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from workflow.conftest import make_vm
 
 
-class Vm:
-    """Answers every call with a status and a body, and keeps what it was sent."""
+class FakeVm:
+    """Fake VM with a configurable answer; records the requests."""
 
     def __init__(self):
         self.status = 200
@@ -32,14 +32,14 @@
 
 
 @pytest.fixture
-def answers():
-    return Vm()
+def fake_vm():
+    return FakeVm()
 
 
 @pytest.fixture
-async def record(answers):
+async def record(fake_vm):
     app = web.Application()
-    app.router.add_post("/hyssopway/{call}", answers.answer)
+    app.router.add_post("/hyssopway/{call}", fake_vm.answer)
     async with TestServer(app, host="127.0.0.1") as server:
         vm = make_vm("vm-1")
         yield VmRecord(
@@ -81,10 +81,10 @@
     )
 
 
-async def test_start_says_everything_once(workers, record, answers):
-    """Guards against a start without its lease, its token or the boot that it is meant for."""
+async def test_start_sends_all_fields_once(workers, record, fake_vm):
+    """Guards against a start without its lease, its fencing token or its target VM."""
     assert (await start(workers, record)).refusal is None
-    ((path, body, headers),) = answers.calls
+    ((path, body, headers),) = fake_vm.calls
     assert path == "/hyssopway/run-start"
     assert body == {
         "task": "w.0.0.1",
@@ -97,10 +97,10 @@
     assert headers["X-Hyssopway-Expected-Instance"] == "vm-1"
 
 
-async def test_start_carries_its_ticket(workers, record, answers):
-    """Guards against a queue with an advisor whose every start is refused."""
+async def test_start_sends_its_ticket(workers, record, fake_vm):
+    """Guards against a start without its ticket, which the VM would refuse."""
     assert (await start(workers, record, ticket="t-1")).refusal is None
-    assert answers.calls[0][1]["ticket"] == "t-1"
+    assert fake_vm.calls[0][1]["ticket"] == "t-1"
 
 
 @pytest.mark.parametrize(
@@ -117,32 +117,32 @@
         (503, {}, Refusal.UNHEALTHY),
     ],
 )
-async def test_refusals_are_told_apart(workers, record, answers, case):
-    """Guards against a refusal that is taken for an order without an answer."""
-    answers.status, answers.body, refusal = case
+async def test_refusals_are_distinguished(workers, record, fake_vm, case):
+    """Guards against treating a refused order as one without an answer."""
+    fake_vm.status, fake_vm.body, refusal = case
     assert (await start(workers, record)).refusal is refusal
 
 
 @pytest.mark.parametrize(
     ("status", "body"), [(500, {}), (409, {"reason": "mood"}), (200, b"{cut"), (302, {})]
 )
-async def test_answer_that_says_nothing_counts_as_none(workers, record, answers, status, body):
-    """Guards against a run that is settled by an answer that nobody can read."""
-    answers.status, answers.body = status, body
+async def test_invalid_answer_counts_as_none(workers, record, fake_vm, status, body):
+    """Guards against deciding the state of a run from an invalid answer."""
+    fake_vm.status, fake_vm.body = status, body
     with pytest.raises(WorkerUnreachableError):
         await start(workers, record)
 
 
-async def test_silent_vm_is_given_up(workers, record, answers):
-    """Guards against an order that waits for ever."""
-    answers.wait_s = 5.0
+async def test_order_to_unresponsive_vm_times_out(workers, record, fake_vm):
+    """Guards against an order that waits forever."""
+    fake_vm.wait_s = 5.0
     with pytest.raises(WorkerUnreachableError):
         await start(workers, record)
 
 
-async def test_listing_is_decoded(workers, record, answers):
-    """Guards against columns that are mixed up."""
-    answers.body = {
+async def test_list_of_runs_is_decoded(workers, record, fake_vm):
+    """Guards against confusing the columns of the lists."""
+    fake_vm.body = {
         "clock_ms": 50,
         "born": 9,
         "running": [["w.0.0.1", 2, "half", 41, 800], ["w.0.0.2", 1, "", 7]],
@@ -155,7 +155,7 @@
         ("w.0.0.2", 1, "", 7, 0),
     ]
     assert (reply.ends[0].number, reply.ends[0].end.outcome) == (4, RunOutcome.BROKEN)
-    ((_, body, _),) = answers.calls
+    ((_, body, _),) = fake_vm.calls
     assert body == {"fencing_token": 7, "last_seen": 3, "wait_ms": 0}
 
 
@@ -168,15 +168,15 @@
         {"clock_ms": 5, "running": [], "finished": [[1, "w.0.0.0", 1, "vanished", ""]]},
     ],
 )
-async def test_listing_that_cannot_be_read_counts_as_none(workers, record, answers, body):
-    """Guards against runs that are taken as gone because their listing was broken."""
-    answers.body = body
+async def test_invalid_list_of_runs_counts_as_no_answer(workers, record, fake_vm, body):
+    """Guards against treating runs as lost because the list was invalid."""
+    fake_vm.body = body
     with pytest.raises(WorkerUnreachableError):
         await poll(workers, record)
 
 
-async def test_other_vm_at_the_address_is_noticed(workers, record, answers):
-    """Guards against orders to a VM that took over an address."""
-    answers.status = 421
+async def test_other_vm_at_the_address_is_detected(workers, record, fake_vm):
+    """Guards against orders to another VM that took over the address."""
+    fake_vm.status = 421
     with pytest.raises(OtherBootError):
         await poll(workers, record)
--- a/tests/event/test_line_sink.py
+++ b/tests/event/test_line_sink.py
@@ -1,4 +1,4 @@
-"""Log lines that are bounded and never wait."""
+"""Line sink: rate limit and non-blocking writes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 import pytest
 
 from hyssopway.event import Event, log_event, set_up_line_logging, set_up_logging
-from hyssopway.event.line_sink import MAX_LINES_A_SECOND, LineSink
+from hyssopway.event.line_sink import MAX_LINES_PER_SECOND, LineSink
 
 
-class Message:
-    """What loguru hands to a sink."""
+class FakeMessage:
+    """Message as loguru passes it to a sink."""
 
     def __init__(self, *, event: int) -> None:
         self.record = {
@@ -41,26 +41,26 @@
     return [json.loads(line) for line in (source.read() or b"").splitlines()]
 
 
-def test_line_holds_number_and_fields(pipe):
-    """Guards against a line without the inputs of its decision."""
+def test_line_contains_event_number_and_fields(pipe):
+    """Guards against a log line without the fields of its event."""
     log_event(Event.RUN_ENDED, run="w.0.0.0/1", vm="vm-1", outcome="done")
     (line,) = read_lines(pipe)
     assert (line["event"], line["run"], line["vm"], line["outcome"]) == (7008, "w.0.0.0/1", "vm-1", "done")
 
 
-def test_lines_of_one_event_are_bounded_and_counted(pipe):
-    """Guards against a flood of one event that hides the others."""
-    for _ in range(3 * MAX_LINES_A_SECOND):
+def test_lines_of_one_event_are_limited_and_counted(pipe):
+    """Guards against one frequent event that crowds out the others."""
+    for _ in range(3 * MAX_LINES_PER_SECOND):
         log_event(Event.RUN_ENDED, run="r", vm="v", outcome="done")
     log_event(Event.VM_GONE, vm="v", reason="gone")
     lines = read_lines(pipe)
-    # The second may turn once during the loop.
-    assert MAX_LINES_A_SECOND <= len(lines) - 1 <= 2 * MAX_LINES_A_SECOND
-    assert sum(line["left_out"]["7008"] for line in lines if "left_out" in line) >= MAX_LINES_A_SECOND
+    # The loop may cross into the next second once.
+    assert MAX_LINES_PER_SECOND <= len(lines) - 1 <= 2 * MAX_LINES_PER_SECOND
+    assert sum(line["left_out"]["7008"] for line in lines if "left_out" in line) >= MAX_LINES_PER_SECOND
 
 
-def test_reader_that_does_not_keep_up_blocks_nobody(pipe):
-    """Guards against a process that stands still because nobody reads its log."""
+def test_slow_reader_does_not_block_logging(pipe):
+    """Guards against a process that blocks because nobody reads its log."""
     for number in range(20):
         for event in (Event.VM_GONE, Event.RUN_ENDED, Event.LEADER_MISSING):
             fields = {"vm": "v", "run": "r", "outcome": "done", "reason": "x" * 5000, "number": number}
@@ -70,8 +70,8 @@
 
 
 @pytest.mark.parametrize("code", [errno.EPIPE, errno.ENOSPC, errno.EIO])
-def test_line_that_cannot_be_written_ends_nothing_and_is_counted(tmp_path, monkeypatch, code):
-    """Guards against a decision that ends because the reader of the log is gone or the disk is full."""
+def test_write_error_is_ignored_and_counted(tmp_path, monkeypatch, code):
+    """Guards against an error in the program because the reader of the log is gone or the disk is full."""
     with (tmp_path / "log").open("w+") as stream:
         sink = LineSink(stream=stream, clock=lambda: 0.0)
 
@@ -80,9 +80,9 @@
 
         with monkeypatch.context() as broken:
             broken.setattr(os, "write", refuse)
-            sink(Message(event=1))
-            sink(Message(event=1))
-        sink(Message(event=2))
+            sink(FakeMessage(event=1))
+            sink(FakeMessage(event=1))
+        sink(FakeMessage(event=2))
         stream.seek(0)
         line = json.loads(stream.read())
     assert (line["event"], line["left_out"]) == (2, {"1": 2})
--- a/tests/event/test_log.py
+++ b/tests/event/test_log.py
@@ -1,4 +1,4 @@
-"""Log lines."""
+"""Templates and numbers of log events."""
 
 from __future__ import annotations
 
@@ -27,6 +27,6 @@
         assert f" {event.number} " in written
 
 
-def test_numbers_stand_in_their_ranges():
-    """Guards against an event outside the ranges that docs/events.md is read by."""
+def test_event_numbers_are_in_their_ranges():
+    """Guards against an event number outside the ranges that `docs/events.md` defines."""
     assert all(1001 <= event.number <= 7999 for event in Event)
--- a/tests/result/test_statuses.py
+++ b/tests/result/test_statuses.py
@@ -1,4 +1,4 @@
-"""HTTP statuses of result codes."""
+"""HTTP status, body and headers of failures."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @pytest.mark.parametrize("code", [code for code in ResultCode if code is not ResultCode.OK])
-def test_every_failure_is_an_error_with_its_number(code):
-    """Guards against a failure that callers take for success."""
+def test_every_failure_is_answered_with_an_error_status_and_its_code(code):
+    """Guards against a failure that callers treat as success."""
     failure = Failure(code=code, message="reason", work=WorkState.MAY_HAVE_RUN)
     answer = failure_response(failure)
     body = json.loads(answer.body)
@@ -28,6 +28,6 @@
 
 @pytest.mark.parametrize(("wait_s", "header"), [(0.0, "1"), (0.2, "1"), (1.0, "1"), (1.2, "2"), (60, "60")])
 def test_retry_after_is_rounded_up_to_whole_seconds(wait_s, header):
-    """Guards against a caller that comes back too early or at once."""
+    """Guards against callers that retry too early."""
     failure = Failure(code=ResultCode.QUEUE_FULL, message="full", retry_after_s=wait_s)
     assert failure_response(failure).headers["Retry-After"] == header
