--- a/src/hyssopway/event/__main__.py
+++ b/src/hyssopway/event/__main__.py
@@ -1,4 +1,4 @@
-"""Prints the rows of the table in `docs/events.md`: ``python -m hyssopway.event``."""
+"""Prints the table rows of `docs/events.md`: ``python -m hyssopway.event``."""
 
 from __future__ import annotations
 
--- a/tests/adapter/test_control_api.py
+++ b/tests/adapter/test_control_api.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("change", [{"service": "x"}, {"state": "asleep"}, {"capacity": None}])
-async def test_report_of_another_writer_names_no_vm(client, change):
+async def test_invalid_report_registers_no_vm(client, change):
     """Guards against registering a VM from an invalid report."""
     assert (await client.control("PUT", "instances/i-1", REPORT | change))[0] == 400
     assert client.controller.leadership.state.tables.vms == {}
--- a/tests/adapter/test_decoding.py
+++ b/tests/adapter/test_decoding.py
@@ -100,7 +100,7 @@
         pytest.param(changed(REPORT, ["born"], "soon"), id="birth is text"),
     ],
 )
-def test_report_of_another_writer_is_refused(body):
+def test_invalid_report_is_refused(body):
     """Guards against registering a VM from an invalid report."""
     with pytest.raises(BadInputError):
         decode_report(vm="i-1", body=body)
