--- a/tests/adapter/test_connections.py
+++ b/tests/adapter/test_connections.py
@@ -1,4 +1,4 @@
-"""Requests that were given up."""
+"""Abandoned requests on HTTP sessions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from hyssopway_platform.connections import new_session
 
 
-async def test_request_that_was_given_up_is_reset_and_not_delivered():
-    """Guards against an order that waits in a partition and arrives behind those of the next leader."""
+async def test_abandoned_request_is_reset_and_not_delivered():
+    """Guards against an abandoned order that a partition delays and that arrives after those of the next leader."""
     ended = asyncio.get_running_loop().create_future()
 
     async def accept(reader, writer):
@@ -25,7 +25,7 @@
 
     server = await asyncio.start_server(accept, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    session = new_session(connections_a_host=1)
+    session = new_session(connections_per_host=1)
     with pytest.raises(TimeoutError):
         await session.post(
             f"http://127.0.0.1:{port}/order", timeout=aiohttp.ClientTimeout(total=0.1), json={"run": 1}
