--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -95,7 +95,7 @@
             freshness=self.freshness,
             peers=self.peers,
             find_leader=lambda: member.leader_daemon,
-            own_confirmed_at=member.quorum_acked_at,
+            quorum_acked_at=member.quorum_acked_at,
             own_name=self.settings.name,
         )
 
--- a/src/hyssopway/replica/following.py
+++ b/src/hyssopway/replica/following.py
@@ -32,7 +32,7 @@
     freshness: Freshness,
     peers: PeerDirectory,
     find_leader: Callable[[], str],
-    own_confirmed_at: Callable[[], float],
+    quorum_acked_at: Callable[[], float],
     own_name: str,
 ) -> None:
     """Confirms the replica of a control member, whose entries come with the log.
@@ -42,20 +42,20 @@
         freshness: What is confirmed.
         peers: Clients of the other daemons.
         find_leader: Returns the daemon that leads; empty when unknown.
-        own_confirmed_at: Returns the confirmed time while this daemon leads.
+        quorum_acked_at: Returns the confirmed time while this daemon leads.
         own_name: Name of this daemon.
     """
     while True:
         leader = find_leader()
         if leader == own_name:
-            confirmed_at = own_confirmed_at()
+            confirmed_at = quorum_acked_at()
             freshness.confirm(at=confirmed_at)
             if isfinite(confirmed_at):
-                freshness.cover(index=replica.applied_index)
+                freshness.confirm_index(index=replica.applied_index)
         elif leader:
             await _confirm_with(client=peers.client(leader), replica=replica, freshness=freshness)
-        freshness.report()
-        await freshness.rest(_with_jitter(CONFIRM_INTERVAL_S if freshness.is_valid else RETRY_S))
+        freshness.log_validity_change()
+        await freshness.wait_interval(_with_jitter(CONFIRM_INTERVAL_S if freshness.is_valid else RETRY_S))
 
 
 async def follow_upstream(
@@ -79,7 +79,7 @@
             given_up = freshness.clock() - useful_at > PATIENCE_S
         except PeerUnreachableError:
             useful, given_up = False, True
-        freshness.report()
+        freshness.log_validity_change()
         if useful or given_up:
             useful_at = freshness.clock()
         if not useful:
@@ -103,7 +103,7 @@
         # The answer was written after it was asked for, so counting from the question is on the safe side.
         freshness.confirm(at=sent_at - reply.confirmed_age_s)
         if isfinite(reply.confirmed_age_s):
-            freshness.cover(index=reply.commit_index)
+            freshness.confirm_index(index=reply.commit_index)
 
 
 async def _watch_once(*, client: PeerClient, replica: Replica, freshness: Freshness) -> bool:
@@ -118,7 +118,7 @@
     if replica.applied_index >= reply.applied_index:
         freshness.confirm(at=sent_at + reply.waited_s - reply.confirmed_age_s)
         # The leader does not take back runs of a daemon without a log: its contacts come second-hand.
-        freshness.cover(index=replica.applied_index)
+        freshness.confirm_index(index=replica.applied_index)
     return freshness.is_valid or bool(reply.entries)
 
 
--- a/src/hyssopway/replica/freshness.py
+++ b/src/hyssopway/replica/freshness.py
@@ -22,20 +22,27 @@
     Attributes:
         clock: Monotonic seconds.
         confirmed_at: Local time of the confirmation.
-        covered_index: Largest index that the leader knows this daemon may act on.
-        asked: Set when a confirmation is wanted at once.
-        advanced: Set when `covered_index` grew.
+        confirmed_index: Largest index that the leader knows this daemon may act on.
+        confirmation_requested: Set when a confirmation is wanted at once.
+        index_confirmed: Set when `confirmed_index` grew.
     """
 
-    __slots__ = ("advanced", "asked", "clock", "confirmed_at", "covered_index", "reported")
+    __slots__ = (
+        "clock",
+        "confirmation_requested",
+        "confirmed_at",
+        "confirmed_index",
+        "index_confirmed",
+        "was_valid",
+    )
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
         self.confirmed_at = float("-inf")
-        self.covered_index = 0
-        self.asked = asyncio.Event()
-        self.advanced = asyncio.Event()
-        self.reported = True
+        self.confirmed_index = 0
+        self.confirmation_requested = asyncio.Event()
+        self.index_confirmed = asyncio.Event()
+        self.was_valid = True
 
     @property
     def age_s(self) -> float:
@@ -51,40 +58,40 @@
         """Records that everything agreed before a local time is applied."""
         self.confirmed_at = max(self.confirmed_at, at)
 
-    def cover(self, *, index: int) -> None:
+    def confirm_index(self, *, index: int) -> None:
         """Records that the leader confirmed everything up to an index to this daemon."""
-        if index > self.covered_index:
-            self.covered_index = index
-            self.advanced.set()
+        if index > self.confirmed_index:
+            self.confirmed_index = index
+            self.index_confirmed.set()
 
-    async def wait_covered(self, index: int, *, timeout_s: float) -> bool:
+    async def wait_confirmed(self, index: int, *, timeout_s: float) -> bool:
         """Asks for a confirmation at once and waits until it covers an index."""
         try:
             async with asyncio.timeout(timeout_s):
-                while self.covered_index < index:
-                    self.asked.set()
-                    self.advanced.clear()
-                    await self.advanced.wait()
+                while self.confirmed_index < index:
+                    self.confirmation_requested.set()
+                    self.index_confirmed.clear()
+                    await self.index_confirmed.wait()
         except TimeoutError:
             return False
         return True
 
-    async def rest(self, seconds: float) -> None:
+    async def wait_interval(self, seconds: float) -> None:
         """Waits before the next confirmation unless one is wanted at once."""
         try:
             async with asyncio.timeout(seconds):
-                await self.asked.wait()
+                await self.confirmation_requested.wait()
         except TimeoutError:
             pass
-        self.asked.clear()
+        self.confirmation_requested.clear()
 
-    def report(self) -> None:
+    def log_validity_change(self) -> None:
         """Logs when authority expires and when it is confirmed again."""
-        if self.reported and not self.is_valid:
+        if self.was_valid and not self.is_valid:
             log_event(Event.AUTHORITY_EXPIRED, age_s=self.age_s)
-        if not self.reported and self.is_valid:
+        if not self.was_valid and self.is_valid:
             log_event(Event.AUTHORITY_CONFIRMED)
-        self.reported = self.is_valid
+        self.was_valid = self.is_valid
 
 
 __all__ = ["AUTHORITY_TTL_S", "Freshness"]
--- a/src/hyssopway/worker/sessions.py
+++ b/src/hyssopway/worker/sessions.py
@@ -209,8 +209,8 @@
         known = _known_runs(request)
         runs = [job.run for job in self.runs_on(vm) if job.run and (job.job_id, job.run.epoch) not in known]
         index = max((run.started_index for run in runs), default=0)
-        if index > self.freshness.covered_index and self.freshness.is_valid:
-            await self.freshness.wait_covered(index, timeout_s=COVER_S)
+        if index > self.freshness.confirmed_index and self.freshness.is_valid:
+            await self.freshness.wait_confirmed(index, timeout_s=COVER_S)
 
     async def _register(self, *, vm: str, request: SyncRequest) -> Failure | None:
         known = self.replica.state.tables.vms.get(vm)
@@ -286,7 +286,7 @@
                 lost = job.run is not None and job.run.boot_id not in ("", vm.boot_id)
                 outcome = RunOutcome.LOST if lost else RunOutcome.STOPPED
                 self.reports.give_up(job=job, vm=vm, outcome=outcome, detail=reason)
-            elif job.run is not None and job.run.started_index <= self.freshness.covered_index:
+            elif job.run is not None and job.run.started_index <= self.freshness.confirmed_index:
                 orders.append(_to_order(job, start_within_s=start_within_s))
         self._prune()
         return orders
--- a/tests/states.py
+++ b/tests/states.py
@@ -127,5 +127,5 @@
 def make_freshness(clock: ManualClock) -> Freshness:
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock.now)
-    freshness.cover(index=1_000_000)
+    freshness.confirm_index(index=1_000_000)
     return freshness
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -234,11 +234,11 @@
 
 async def test_run_is_ordered_only_once_the_leader_confirmed_it(home):
     """Guards against a start that the leader takes back because this home fell silent."""
-    home.freshness.covered_index = home.job.run.started_index - 1
+    home.freshness.confirmed_index = home.job.run.started_index - 1
     assert (await home.reply()).start == []
     waiting = asyncio.create_task(home.reply())
-    await asyncio.wait_for(home.freshness.asked.wait(), 5)
-    home.freshness.cover(index=home.job.run.started_index)
+    await asyncio.wait_for(home.freshness.confirmation_requested.wait(), 5)
+    home.freshness.confirm_index(index=home.job.run.started_index)
     assert [order.job_id for order in (await waiting).start] == ["job"]
 
 
