--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -143,7 +143,7 @@
         """Returns entries behind an index, waiting for the first."""
         started = self.freshness.clock()
         self.contacts[daemon] = started
-        await self.replica.wait_beyond(from_index, timeout_s=wait_s)
+        await self.replica.wait_applied_past(from_index, timeout_s=wait_s)
         waited_s = self.freshness.clock() - started
         # The answer confirms the watcher up to now, not up to its question.
         self.contacts[daemon] = self.freshness.clock()
--- a/src/hyssopway/replica/following.py
+++ b/src/hyssopway/replica/following.py
@@ -98,7 +98,7 @@
         reply = await client.confirm(timeout_s=CALL_TIMEOUT_S)
     except PeerUnreachableError:
         return
-    await replica.wait_beyond(reply.commit_index - 1, timeout_s=CALL_TIMEOUT_S)
+    await replica.wait_applied_past(reply.commit_index - 1, timeout_s=CALL_TIMEOUT_S)
     if replica.applied_index >= reply.commit_index:
         # The answer was written after it was asked for, so counting from the question is on the safe side.
         freshness.confirm(at=sent_at - reply.confirmed_age_s)
--- a/src/hyssopway/replica/replica.py
+++ b/src/hyssopway/replica/replica.py
@@ -12,7 +12,7 @@
     from hyssopway.control import Outcome
 
 # A follower that missed more entries reads a snapshot instead.
-RECENT_ENTRIES = 2000
+MAX_RECENT_ENTRIES = 2000
 
 
 class Replica:
@@ -20,20 +20,20 @@
 
     Attributes:
         state: The state.
-        recent: Last entries applied, for followers of this daemon.
+        recent_entries: Last entries applied, for followers of this daemon.
         snapshot: Index and bytes of the snapshot that readers are in the middle of.
-        vm_wakers: Event of the request that waits for orders to a VM.
-        wakers: Events of tasks that wait for a change.
+        vm_change_events: Event of the request that waits for orders to a VM.
+        change_events: Events of tasks that wait for a change.
     """
 
-    __slots__ = ("recent", "snapshot", "state", "vm_wakers", "wakers")
+    __slots__ = ("change_events", "recent_entries", "snapshot", "state", "vm_change_events")
 
     def __init__(self) -> None:
         self.state = ControlState()
-        self.recent: deque[bytes] = deque(maxlen=RECENT_ENTRIES)
+        self.recent_entries: deque[bytes] = deque(maxlen=MAX_RECENT_ENTRIES)
         self.snapshot: tuple[int, bytes] = (0, b"")
-        self.wakers: set[asyncio.Event] = set()
-        self.vm_wakers: dict[str, asyncio.Event] = {}
+        self.change_events: set[asyncio.Event] = set()
+        self.vm_change_events: dict[str, asyncio.Event] = {}
 
     @property
     def applied_index(self) -> int:
@@ -41,17 +41,17 @@
         return self.state.applied_index
 
     @property
-    def first_recent_index(self) -> int:
+    def first_kept_index(self) -> int:
         """Index of the oldest entry that is kept."""
-        return self.applied_index - len(self.recent) + 1
+        return self.applied_index - len(self.recent_entries) + 1
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
         """Applies one committed entry."""
         outcome = self.state.apply(index=index, data=data)
-        self.recent.append(data)
-        self._wake()
+        self.recent_entries.append(data)
+        self._notify()
         for vm in self.state.indexes.affected_vms:
-            self.wake_vm(vm)
+            self.notify_vm(vm)
         return outcome
 
     def encode_snapshot(self) -> bytes:
@@ -65,17 +65,17 @@
         if state.applied_index <= self.state.applied_index:
             return
         self.state = state
-        self.recent.clear()
-        self._wake()
-        for vm in self.vm_wakers:
-            self.wake_vm(vm)
+        self.recent_entries.clear()
+        self._notify()
+        for vm in self.vm_change_events:
+            self.notify_vm(vm)
 
     def entries_after(self, index: int) -> tuple[bytes, ...] | None:
         """Returns the entries behind an index, or None when they are no longer kept."""
-        if index + 1 < self.first_recent_index:
+        if index + 1 < self.first_kept_index:
             return None
         missing = self.applied_index - index
-        return tuple(self.recent[position] for position in range(-missing, 0))
+        return tuple(self.recent_entries[position] for position in range(-missing, 0))
 
     def cached_snapshot(self, *, offset: int) -> tuple[int, bytes]:
         """Returns index and bytes of a snapshot; a new one only for a reader at its start.
@@ -83,34 +83,36 @@
         The snapshot is shared while its readers can go on with the entries that are kept, so that many
         followers that start together neither have it encoded for each nor replace it under one another.
         """
-        too_old = self.applied_index - self.snapshot[0] > min(len(self.recent), RECENT_ENTRIES // 2)
+        too_old = self.applied_index - self.snapshot[0] > min(
+            len(self.recent_entries), MAX_RECENT_ENTRIES // 2
+        )
         if offset == 0 and (too_old or not self.snapshot[1]):
             self.snapshot = (self.applied_index, self.encode_snapshot())
         return self.snapshot
 
-    async def wait_beyond(self, index: int, *, timeout_s: float) -> bool:
+    async def wait_applied_past(self, index: int, *, timeout_s: float) -> bool:
         """Waits until something behind an index is applied."""
-        waker = asyncio.Event()
-        self.wakers.add(waker)
+        event = asyncio.Event()
+        self.change_events.add(event)
         try:
             async with asyncio.timeout(timeout_s):
                 while self.applied_index <= index:
-                    waker.clear()
-                    await waker.wait()
+                    event.clear()
+                    await event.wait()
         except TimeoutError:
             return False
         finally:
-            self.wakers.discard(waker)
+            self.change_events.discard(event)
         return True
 
-    def wake_vm(self, vm: str) -> None:
+    def notify_vm(self, vm: str) -> None:
         """Wakes the request that waits for orders to a VM."""
-        if waker := self.vm_wakers.get(vm):
-            waker.set()
+        if event := self.vm_change_events.get(vm):
+            event.set()
 
-    def _wake(self) -> None:
-        for waker in self.wakers:
-            waker.set()
+    def _notify(self) -> None:
+        for event in self.change_events:
+            event.set()
 
 
-__all__ = ["RECENT_ENTRIES", "Replica"]
+__all__ = ["MAX_RECENT_ENTRIES", "Replica"]
--- a/src/hyssopway/replica/submitter.py
+++ b/src/hyssopway/replica/submitter.py
@@ -79,7 +79,7 @@
             match await self._try_once(target=target, data=data, timeout_s=min(left_s, CALL_TIMEOUT_S)):
                 case Result(tag="ok", ok=outcome):
                     self.leader = target
-                    await self.replica.wait_beyond(outcome.index - 1, timeout_s=max(0.0, left_s))
+                    await self.replica.wait_applied_past(outcome.index - 1, timeout_s=max(0.0, left_s))
                     return Error(outcome.failure) if outcome.failure else Ok(outcome)
                 case Result(error=failure):
                     sent = sent or failure.work is WorkState.MAY_HAVE_RUN
--- a/src/hyssopway/worker/sessions.py
+++ b/src/hyssopway/worker/sessions.py
@@ -105,8 +105,8 @@
         try:
             return await self._wait_for_orders(vm=vm, request=request, acknowledged=acknowledged, waker=waker)
         finally:
-            if self.replica.vm_wakers.get(vm) is waker:
-                del self.replica.vm_wakers[vm]
+            if self.replica.vm_change_events.get(vm) is waker:
+                del self.replica.vm_change_events[vm]
 
     async def _wait_for_orders(
         self, *, vm: str, request: SyncRequest, acknowledged: list[str], waker: asyncio.Event
@@ -126,8 +126,8 @@
             if session is None:
                 session = self._open_session(vm=vm, request=request)
                 # The request that waited so far is overtaken now.
-                self.replica.wake_vm(vm)
-                self.replica.vm_wakers[vm] = waker
+                self.replica.notify_vm(vm)
+                self.replica.vm_change_events[vm] = waker
             reply = self._answer(session, acknowledged=acknowledged)
             orders = (reply.stop, reply.checkpoint, reply.throttle)
             left_s = deadline - self.clock()
@@ -195,7 +195,7 @@
 
         A home that lags would order a run again that the worker ended through its former home.
         """
-        await self.replica.wait_beyond(request.seen_index - 1, timeout_s=CATCH_UP_S)
+        await self.replica.wait_applied_past(request.seen_index - 1, timeout_s=CATCH_UP_S)
         if self.replica.applied_index < request.seen_index or isinf(self.freshness.age_s):
             message = f"state at index {self.replica.applied_index} is behind {request.seen_index}"
             return Failure(code=ResultCode.REPLICA_BEHIND, message=message, retry_after_s=0.5)
--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -100,7 +100,7 @@
         wanted = leader.member.commit_index if leader else 0
         started = time.monotonic()
         group.start(name)
-        if not await group.nodes[name].replica.wait_beyond(wanted - 1, timeout_s=WAIT_S):
+        if not await group.nodes[name].replica.wait_applied_past(wanted - 1, timeout_s=WAIT_S):
             raise TimeoutError(f"{missed} missed changes were not caught up")
         points.append((float(missed), time.monotonic() - started))
         measurement.figures[f"catch-up after {missed} changes s"] = points[-1][1]
@@ -117,7 +117,7 @@
         leader = group.leader()
         wanted = leader.member.commit_index if leader else 0
         await asyncio.gather(
-            *(node.replica.wait_beyond(wanted - 1, timeout_s=5) for node in group.nodes.values())
+            *(node.replica.wait_applied_past(wanted - 1, timeout_s=5) for node in group.nodes.values())
         )
         delays.append((time.monotonic() - started) * 1000)
         await asyncio.sleep(0.005)
--- a/src/hyssopway_standins/measure/spread.py
+++ b/src/hyssopway_standins/measure/spread.py
@@ -192,7 +192,7 @@
 
 async def _record(replica: Replica, seen: list[tuple[float, int]]) -> None:
     while True:
-        if await replica.wait_beyond(replica.applied_index, timeout_s=60.0):
+        if await replica.wait_applied_past(replica.applied_index, timeout_s=60.0):
             seen.append((time.monotonic(), replica.applied_index))
 
 
--- a/tests/replica/test_following.py
+++ b/tests/replica/test_following.py
@@ -93,7 +93,7 @@
 
 
 async def reach(replica: Replica, index: int) -> None:
-    assert await replica.wait_beyond(index - 1, timeout_s=20), replica.applied_index
+    assert await replica.wait_applied_past(index - 1, timeout_s=20), replica.applied_index
 
 
 @pytest.mark.parametrize(("missed", "snapshots"), [(1, 0), (300, 0), (1999, 0), (10_000, 1)])
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -265,7 +265,7 @@
         home.submitter.apply_or_fail(EndRun(job_id="job", epoch=1, outcome=RunOutcome.STOPPED))
     waiting = asyncio.create_task(home.sync(running=running, wait_s=WAIT_S, number=1))
     async with asyncio.timeout(5):
-        while "vm" not in home.submitter.replica.vm_wakers:  # noqa: ASYNC110  bounded by the timeout
+        while "vm" not in home.submitter.replica.vm_change_events:  # noqa: ASYNC110  bounded by the timeout
             await asyncio.sleep(0)
     assert not waiting.done()
     match case:
