--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -131,7 +131,7 @@
         return Proposer(
             member=self.member,
             replica=self.replica,
-            agreed_clock=self.agreed_clock,
+            cluster_clock=self.agreed_clock,
             wall_ms=wall_ms,
         )
 
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -97,7 +97,7 @@
         self.exchanges: dict[str, Callable[[Any], Any]] = {}
         self.parts = SnapshotAssembler()
 
-    def note_connection_lost(self, daemon: str) -> None:
+    def handle_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if self.member is not None and daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
--- a/src/hyssopway/node/control_calls.py
+++ b/src/hyssopway/node/control_calls.py
@@ -50,7 +50,7 @@
         self.exchanges = exchanges
         self.assembler = SnapshotAssembler()
 
-    def note_connection_lost(self, daemon: str) -> None:
+    def handle_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
--- a/src/hyssopway/peer/handlers.py
+++ b/src/hyssopway/peer/handlers.py
@@ -20,7 +20,7 @@
 class PeerHandlers(Protocol):
     """Calls that a daemon answers; an exception reaches the caller as an unreachable peer."""
 
-    def note_connection_lost(self, daemon: str) -> None:
+    def handle_connection_lost(self, daemon: str) -> None:
         """Takes in that a connection of another daemon has ended."""
         ...
 
--- a/src/hyssopway/peer/server.py
+++ b/src/hyssopway/peer/server.py
@@ -54,7 +54,7 @@
             log_event(Event.PEER_REFUSED, reason=str(error).splitlines()[0])
         finally:
             if gate.daemon:
-                self.handlers.note_connection_lost(gate.daemon)
+                self.handlers.handle_connection_lost(gate.daemon)
 
 
 class _Gate(SCHEMA.Gate.Server):  # type: ignore[misc]
