--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -82,7 +82,7 @@
             others=nearest_first(settings),
             near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
         )
-        self.registry.arrived = self.collector.begin
+        self.registry.on_new_endpoint = self.collector.begin
 
     def open(self) -> None:
         """Opens the clients, which need a running loop, and builds the gateway."""
@@ -113,7 +113,7 @@
     async def expire(self) -> None:
         """Ends leases of endpoints and credits for as long as the daemon runs."""
         while True:
-            self.registry.expire()
+            self.registry.remove_expired()
             self.ledger.expire()
             await asyncio.sleep(EXPIRE_S)
 
--- a/src/hyssopway/endpoint/health.py
+++ b/src/hyssopway/endpoint/health.py
@@ -12,20 +12,20 @@
     from hyssopway.clock import Clock
 
 FAILURES_TO_EJECT = 3
-FIRST_EJECTION_S = 1.0
-LONGEST_EJECTION_S = 15.0
+BASE_EJECTION_S = 1.0
+MAX_EJECTION_S = 15.0
 # Never more than this part of a service's endpoints is ejected: failures of most of them have a common
 # cause, and without endpoints nothing is served at all.
-MAX_EJECTED_PART = 0.5
+MAX_EJECTED_FRACTION = 0.5
 PROBES_TO_RECOVER = 3
 SLOW_FACTOR = 5.0
-SLOW_FLOOR_S = 0.05
-SLOW_ANSWERS = 10
-SMOOTHING = 0.2
+MIN_SLOW_MEAN_S = 0.05
+MIN_ANSWERS = 10
+EWMA_WEIGHT = 0.2
 
 
 @dataclass(slots=True, kw_only=True)
-class Record:
+class EndpointStats:
     """What one daemon saw of an endpoint.
 
     Attributes:
@@ -53,87 +53,87 @@
     """Outcomes of the requests that one daemon sent.
 
     Attributes:
-        records: Records by endpoint.
+        stats: Statistics by endpoint.
     """
 
-    __slots__ = ("clock", "records")
+    __slots__ = ("clock", "stats")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
-        self.records: dict[str, Record] = {}
+        self.stats: dict[str, EndpointStats] = {}
 
-    def limit(self, endpoint: str) -> int | None:
+    def concurrency_limit(self, endpoint: str) -> int | None:
         """Returns the most requests in progress that an endpoint may get; None without a limit."""
-        record = self.records.get(endpoint)
-        if record is None:
+        stats = self.stats.get(endpoint)
+        if stats is None:
             return None
-        if record.ejected_until > self.clock():
+        if stats.ejected_until > self.clock():
             return 0
-        return 1 if record.probes_left else None
+        return 1 if stats.probes_left else None
 
-    def ejected(self, service: tuple[str, str]) -> tuple[str, ...]:
+    def ejected_endpoints(self, service: tuple[str, str]) -> tuple[str, ...]:
         """Returns the endpoints of a service that get nothing now."""
         now = self.clock()
         return tuple(
             name
-            for name, record in self.records.items()
-            if record.service == service and record.ejected_until > now
+            for name, stats in self.stats.items()
+            if stats.service == service and stats.ejected_until > now
         )
 
-    def succeeded(self, endpoint: str, *, service: tuple[str, str], seconds: float) -> None:
+    def record_success(self, endpoint: str, *, service: tuple[str, str], seconds: float) -> None:
         """Records a whole answer."""
-        record = self._record(endpoint, service=service)
-        record.failures = 0
-        record.answers += 1
-        record.mean_s += (seconds - record.mean_s) * (SMOOTHING if record.answers > 1 else 1.0)
-        if record.probes_left:
-            record.probes_left -= 1
-            if not record.probes_left:
-                record.ejections = 0
-        if record.answers >= SLOW_ANSWERS and self._is_slow(record):
-            self._eject(endpoint, record=record, reason=f"mean answer time {record.mean_s:.3f} s")
-
-    def failed(self, endpoint: str, *, service: tuple[str, str]) -> None:
+        stats = self._stats_of(endpoint, service=service)
+        stats.failures = 0
+        stats.answers += 1
+        stats.mean_s += (seconds - stats.mean_s) * (EWMA_WEIGHT if stats.answers > 1 else 1.0)
+        if stats.probes_left:
+            stats.probes_left -= 1
+            if not stats.probes_left:
+                stats.ejections = 0
+        if stats.answers >= MIN_ANSWERS and self._is_slow(stats):
+            self._eject(endpoint, stats=stats, reason=f"mean answer time {stats.mean_s:.3f} s")
+
+    def record_failure(self, endpoint: str, *, service: tuple[str, str]) -> None:
         """Records a failure that the endpoint caused."""
-        record = self._record(endpoint, service=service)
-        record.failures += 1
-        if record.probes_left or record.failures >= FAILURES_TO_EJECT:
-            self._eject(endpoint, record=record, reason=f"{record.failures} failures in a row")
+        stats = self._stats_of(endpoint, service=service)
+        stats.failures += 1
+        if stats.probes_left or stats.failures >= FAILURES_TO_EJECT:
+            self._eject(endpoint, stats=stats, reason=f"{stats.failures} failures in a row")
 
-    def forget(self, *, unseen_s: float) -> None:
+    def remove_idle(self, *, idle_s: float) -> None:
         """Drops records of endpoints that got no request for a while."""
-        oldest = self.clock() - unseen_s
-        for name in [name for name, record in self.records.items() if record.seen_at < oldest]:
-            del self.records[name]
-
-    def _record(self, endpoint: str, *, service: tuple[str, str]) -> Record:
-        record = self.records.get(endpoint)
-        if record is None:
-            record = self.records[endpoint] = Record(service=service)
-        record.seen_at = self.clock()
-        return record
-
-    def _is_slow(self, record: Record) -> bool:
+        oldest = self.clock() - idle_s
+        for name in [name for name, stats in self.stats.items() if stats.seen_at < oldest]:
+            del self.stats[name]
+
+    def _stats_of(self, endpoint: str, *, service: tuple[str, str]) -> EndpointStats:
+        stats = self.stats.get(endpoint)
+        if stats is None:
+            stats = self.stats[endpoint] = EndpointStats(service=service)
+        stats.seen_at = self.clock()
+        return stats
+
+    def _is_slow(self, stats: EndpointStats) -> bool:
         others = [
             other.mean_s
-            for other in self.records.values()
-            if other.service == record.service and other is not record and other.answers >= SLOW_ANSWERS
+            for other in self.stats.values()
+            if other.service == stats.service and other is not stats and other.answers >= MIN_ANSWERS
         ]
-        return bool(others) and record.mean_s > max(SLOW_FLOOR_S, SLOW_FACTOR * statistics.median(others))
+        return bool(others) and stats.mean_s > max(MIN_SLOW_MEAN_S, SLOW_FACTOR * statistics.median(others))
 
-    def _eject(self, endpoint: str, *, record: Record, reason: str) -> None:
-        peers = sum(other.service == record.service for other in self.records.values())
+    def _eject(self, endpoint: str, *, stats: EndpointStats, reason: str) -> None:
+        peers = sum(other.service == stats.service for other in self.stats.values())
         now = self.clock()
-        if record.ejected_until > now:
+        if stats.ejected_until > now:
             return
-        if len(self.ejected(record.service)) + 1 > peers * MAX_EJECTED_PART:
+        if len(self.ejected_endpoints(stats.service)) + 1 > peers * MAX_EJECTED_FRACTION:
             return
-        for_s = min(LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**record.ejections)
-        record.ejections += 1
-        record.ejected_until = now + for_s
-        record.probes_left = PROBES_TO_RECOVER
-        record.answers = record.failures = 0
-        log_event(Event.ENDPOINT_EJECTED, endpoint=endpoint, for_s=for_s, reason=reason)
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**stats.ejections)
+        stats.ejections += 1
+        stats.ejected_until = now + ejection_s
+        stats.probes_left = PROBES_TO_RECOVER
+        stats.answers = stats.failures = 0
+        log_event(Event.ENDPOINT_EJECTED, endpoint=endpoint, for_s=ejection_s, reason=reason)
 
 
 __all__ = ["EndpointHealth"]
--- a/src/hyssopway/endpoint/registry.py
+++ b/src/hyssopway/endpoint/registry.py
@@ -24,15 +24,15 @@
     Attributes:
         endpoints: Endpoints by name.
         may_serve: Tells whether the VM of an endpoint may take new requests.
-        arrived: Called with each endpoint that is new here.
+        on_new_endpoint: Called with each endpoint that is new here.
     """
 
-    __slots__ = ("arrived", "clock", "endpoints", "may_serve")
+    __slots__ = ("clock", "endpoints", "may_serve", "on_new_endpoint")
 
     def __init__(self, *, clock: Clock, may_serve: Callable[[str], bool] = lambda _: True) -> None:
         self.clock = clock
         self.may_serve = may_serve
-        self.arrived: Callable[[Endpoint], None] = lambda _: None
+        self.on_new_endpoint: Callable[[Endpoint], None] = lambda _: None
         self.endpoints: dict[str, Endpoint] = {}
 
     def announce(self, *, name: str, announcement: Announcement) -> Endpoint:
@@ -48,22 +48,22 @@
         endpoint.expires_at = now + ENDPOINT_LEASE_S
         if new:
             endpoint.announced_at = now
-            self.arrived(endpoint)
+            self.on_new_endpoint(endpoint)
         return endpoint
 
-    def leave(self, *, name: str, reason: str) -> None:
+    def remove(self, *, name: str, reason: str) -> None:
         """Removes an endpoint; it gets no new work from now on."""
         if self.endpoints.pop(name, None) is not None:
             log_event(Event.ENDPOINT_LEFT, endpoint=name, reason=reason)
 
-    def expire(self) -> None:
+    def remove_expired(self) -> None:
         """Removes endpoints whose lease ended."""
         now = self.clock()
         for endpoint in list(self.endpoints.values()):
             if endpoint.expires_at <= now:
-                self.leave(name=endpoint.name, reason="lease ended")
+                self.remove(name=endpoint.name, reason="lease ended")
 
-    def serving(self, *, environment: str, service: str) -> list[Endpoint]:
+    def available_endpoints(self, *, environment: str, service: str) -> list[Endpoint]:
         """Returns the endpoints of a service that may take new requests."""
         now = self.clock()
         return [
--- a/src/hyssopway/gateway/gateway.py
+++ b/src/hyssopway/gateway/gateway.py
@@ -282,7 +282,7 @@
             given_up = False
             self.budget.succeeded()
             seconds = self.clock() - started
-            self.router.health.succeeded(credit.credit.endpoint, service=service, seconds=seconds)
+            self.router.health.record_success(credit.credit.endpoint, service=service, seconds=seconds)
             return Ok(answer)
         except TryFailedError as error:
             given_up = call.sending
@@ -290,7 +290,7 @@
             if call.earlier is None and error.failure.work is not WorkState.NOT_RUN:
                 call.earlier = error.failure
             if error.endpoint_failed:
-                self.router.health.failed(credit.credit.endpoint, service=service)
+                self.router.health.record_failure(credit.credit.endpoint, service=service)
             return Error(error)
         finally:
             self.router.release(credit, given_up=given_up)
--- a/src/hyssopway/operator_api/endpoint_routes.py
+++ b/src/hyssopway/operator_api/endpoint_routes.py
@@ -53,7 +53,7 @@
         """Removes an endpoint."""
         if not token_matches(request, token=self.token):
             return failure_response(_wrong_token())
-        self.registry.leave(name=request.match_info["name"], reason="left")
+        self.registry.remove(name=request.match_info["name"], reason="left")
         return json_response({})
 
 
--- a/src/hyssopway/routing/ledger.py
+++ b/src/hyssopway/routing/ledger.py
@@ -76,7 +76,9 @@
             self._drop(credit_id)
         self.expire()
         renewed = [credit_id for credit_id in request.renewed if self._renew(credit_id, now=now)]
-        endpoints = self.registry.serving(environment=request.environment, service=request.service)
+        endpoints = self.registry.available_endpoints(
+            environment=request.environment, service=request.service
+        )
         allowed = self._allowed(service, daemon=request.daemon, endpoints=endpoints, now=now)
         recalled = self._recall(renewed, endpoints=endpoints, allowed=allowed, avoided=request.avoided)
         credits_out = self._hand_out(request, endpoints=endpoints, allowed=allowed, now=now)
--- a/src/hyssopway/routing/router.py
+++ b/src/hyssopway/routing/router.py
@@ -73,7 +73,7 @@
     def hand_over(self, *, endpoint: str, home: str) -> list[Credit]:
         """Returns the credits held for an endpoint that announced itself to a new home."""
         if home != self.homes.own_name:
-            self.homes.ledger.registry.leave(name=endpoint, reason=f"moved to {home}")
+            self.homes.ledger.registry.remove(name=endpoint, reason=f"moved to {home}")
         found = [
             held for queue in self.queues.values() for held in queue.hand_over(endpoint=endpoint, home=home)
         ]
@@ -105,7 +105,7 @@
         """Renews and returns credits again and again."""
         while True:
             await asyncio.gather(*(queue.maintain() for queue in self.queues.values()))
-            self.health.forget(unseen_s=FORGET_HEALTH_S)
+            self.health.remove_idle(idle_s=FORGET_HEALTH_S)
             await asyncio.sleep(MAINTAIN_S)
 
     def close(self) -> None:
@@ -124,7 +124,7 @@
 
     def _summary(self, service: tuple[str, str]) -> Summary:
         ledger = self.homes.ledger
-        endpoints = ledger.registry.serving(environment=service[0], service=service[1])
+        endpoints = ledger.registry.available_endpoints(environment=service[0], service=service[1])
         queue = self.queues.get(service)
         return Summary(
             environment=service[0],
--- a/src/hyssopway/routing/service_queue.py
+++ b/src/hyssopway/routing/service_queue.py
@@ -155,7 +155,7 @@
             "short": self.short,
             "service_s": self.drain.service_s,
             "ended_per_s": self.drain.rate,
-            "ejected": list(self.health.ejected(self.service)),
+            "ejected": list(self.health.ejected_endpoints(self.service)),
         }
 
     async def maintain(self) -> None:
@@ -256,7 +256,7 @@
     def _usable(self, held: HeldCredit, *, now: float) -> bool:
         if held.recalled or held.expires_at <= now:
             return False
-        limit = self.health.limit(held.credit.endpoint)
+        limit = self.health.concurrency_limit(held.credit.endpoint)
         return limit is None or self.outstanding.get(held.credit.endpoint, 0) < limit
 
     def _offer(self, held: HeldCredit) -> bool:
@@ -346,7 +346,11 @@
             renewed=renewed,
             returned=returned,
             waiting=len(self.waiting),
-            avoided=(*self.health.ejected(self.service), *self._at_limit(), *self._avoided_by_all()),
+            avoided=(
+                *self.health.ejected_endpoints(self.service),
+                *self._at_limit(),
+                *self._avoided_by_all(),
+            ),
         )
 
     def _avoided_by_all(self) -> frozenset[str]:
@@ -359,7 +363,7 @@
         return [
             endpoint
             for endpoint, count in self.outstanding.items()
-            if (limit := self.health.limit(endpoint)) is not None and 0 < limit <= count
+            if (limit := self.health.concurrency_limit(endpoint)) is not None and 0 < limit <= count
         ]
 
     def _take_returning(self, home: str) -> tuple[int, ...]:
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -60,7 +60,7 @@
     held = _ids(_ask(home, "one", wanted=2))
     match cause:
         case "left":
-            home.registry.leave(name="a", reason="left")
+            home.registry.remove(name="a", reason="left")
         case "lease ended":
             home.registry.endpoints["a"].expires_at = clock.now
         case _:
@@ -123,7 +123,7 @@
     new = make_entry("new")
     peers.caller = "new"
     peers.silent = silent
-    new.registry.arrived = new.collector.begin
+    new.registry.on_new_endpoint = new.collector.begin
     new.announce("a")
     (task,) = new.collector.tasks
     await _run_ready_tasks()
@@ -160,7 +160,7 @@
     new.collector.near = frozenset({"old", "far"} if case == "own zone" else {"old"})
     peers.caller = "new"
     peers.silent = {"far", "old"} if case == "other home silent" else {"far"}
-    new.registry.arrived = new.collector.begin
+    new.registry.on_new_endpoint = new.collector.begin
     new.announce("a")
     (task,) = new.collector.tasks
     await _run_ready_tasks()
--- a/tests/routing/test_service_queue.py
+++ b/tests/routing/test_service_queue.py
@@ -84,7 +84,7 @@
     held = (await _acquire(entry)).ok
     entry.router.release(held)
     clock.now += 2.0
-    entry.registry.leave(name="a", reason="lease ended")
+    entry.registry.remove(name="a", reason="lease ended")
     refused = await _acquire(entry, left_s=0.01)
     assert refused.is_error()
 
@@ -114,7 +114,7 @@
 async def test_recalled_credit_is_not_reused(entry):
     """Guards against new work on an endpoint that left while a request was in progress."""
     held = (await _acquire(entry)).ok
-    entry.registry.leave(name="a", reason="left")
+    entry.registry.remove(name="a", reason="left")
     entry.router.clock.now += 0.6
     await _queue(entry).maintain()
     entry.router.release(held)
