--- a/src/hyssopway/daemon/http_application.py
+++ b/src/hyssopway/daemon/http_application.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from hyssopway.http import answer_errors, json_response
+from hyssopway.http import error_middleware, json_response
 from hyssopway.operator_api import (
     EndpointRoutes,
     FleetRoutes,
@@ -52,7 +52,7 @@
         settings, group = self.daemon.settings, self.daemon.group
         app = web.Application(
             client_max_size=settings.max_body_bytes,
-            middlewares=[self._close_when_stopping, answer_errors],
+            middlewares=[self._close_when_stopping, error_middleware],
         )
         app.router.add_get("/health", self._answer_health)
         self.daemon.requests.gateway.add_routes(app)
--- a/src/hyssopway/http/__init__.py
+++ b/src/hyssopway/http/__init__.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from .answers import failure_response, json_response
-from .bodies import read_json
 from .credentials import bearer_token, token_matches
-from .error_answers import answer_errors
 from .listener import HttpListener
+from .middleware import error_middleware
+from .request_body import read_json
+from .responses import failure_response, json_response
 
 __all__ = [
     "HttpListener",
-    "answer_errors",
     "bearer_token",
+    "error_middleware",
     "failure_response",
     "json_response",
     "read_json",
--- a/src/hyssopway/http/connection_handler.py
+++ b/src/hyssopway/http/connection_handler.py
@@ -11,7 +11,7 @@
 
 from hyssopway.result import Failure, ResultCode, http_status
 
-from .answers import failure_response
+from .responses import failure_response
 
 if TYPE_CHECKING:
     import asyncio
@@ -64,14 +64,14 @@
         """Starts to wait for the first request."""
         super().connection_made(transport)
         self.connections.add(self)
-        self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self._end_slow_head)
+        self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self._time_out_head)
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes of the connection."""
         super().data_received(data)
         if self._is_idle():
             if self.head_timer is None:
-                self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self._end_slow_head)
+                self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self._time_out_head)
         else:
             self._cancel_timer()
 
@@ -85,17 +85,17 @@
         if self._is_idle():
             if self._waiter is None and self.head_timer is None:
                 # aiohttp took a whole head and begins its request in the next step of the event loop.
-                self.loop.call_soon(self._end_input)
+                self.loop.call_soon(self._handle_eof)
                 return True
             if self.head_timer is not None:
-                self._refuse(ResultCode.MALFORMED_REQUEST, "the connection ended inside the request head")
+                self._send_error(ResultCode.MALFORMED_REQUEST, "the connection ended inside the request head")
             return None
-        return self._end_input()
+        return self._handle_eof()
 
-    def _end_input(self) -> bool | None:
+    def _handle_eof(self) -> bool | None:
         request = self._current_request
         if request is not None and not request.content.is_eof():
-            self._refuse(ResultCode.MALFORMED_REQUEST, "the connection ended inside the request body")
+            self._send_error(ResultCode.MALFORMED_REQUEST, "the connection ended inside the request body")
             return None
         self.close()
         return True
@@ -122,23 +122,23 @@
             too_large = isinstance(exc, LineTooLong) or "Too many headers" in f"{message}{exc}"
             code = ResultCode.HEADER_TOO_LARGE if too_large else ResultCode.MALFORMED_REQUEST
         text = " ".join((message or str(exc) or "the request is not valid HTTP").split())[:300]
-        answer = failure_response(Failure(code=code, message=text))
-        answer.force_close()
-        return answer
+        response = failure_response(Failure(code=code, message=text))
+        response.force_close()
+        return response
 
     def _is_idle(self) -> bool:
         return self._current_request is None and not self._messages
 
-    def _end_slow_head(self) -> None:
+    def _time_out_head(self) -> None:
         self.head_timer = None
         if self._is_idle():
             message = f"the request head did not arrive within {HEAD_TIMEOUT_S:.0f} s"
-            self._refuse(ResultCode.REQUEST_TOO_SLOW, message)
+            self._send_error(ResultCode.REQUEST_TOO_SLOW, message)
 
-    def _refuse(self, code: ResultCode, message: str) -> None:
+    def _send_error(self, code: ResultCode, message: str) -> None:
         transport: Any = self.transport
         if transport is not None and not transport.is_closing():
-            transport.write(raw_answer(Failure(code=code, message=message)))
+            transport.write(encode_error_response(Failure(code=code, message=message)))
             transport.close()
 
     def _cancel_timer(self) -> None:
@@ -147,7 +147,7 @@
             self.head_timer = None
 
 
-def raw_answer(failure: Failure) -> bytes:
+def encode_error_response(failure: Failure) -> bytes:
     """Encodes a failure as a whole HTTP answer that ends the connection."""
     status = http_status(failure.code)
     body = to_json(
@@ -166,4 +166,4 @@
     return head.encode() + body
 
 
-__all__ = ["ConnectionHandler", "raw_answer"]
+__all__ = ["ConnectionHandler", "encode_error_response"]
--- a/src/hyssopway/http/finishing.py
+++ b/src/hyssopway/http/handler_shield.py
@@ -10,16 +10,16 @@
 
     from aiohttp import web
 
-CANCELLED_PREFIX = "/call/"
+CANCELLABLE_PREFIX = "/call/"
 
 _tasks: set[asyncio.Task[web.StreamResponse]] = set()
 
 
-async def run_handler(
+async def run_shielded(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
     """Cancels only callers' requests on a lost connection; other handlers change state and finish."""
-    if request.path.startswith(CANCELLED_PREFIX):
+    if request.path.startswith(CANCELLABLE_PREFIX):
         return await handler(request)
     task = asyncio.ensure_future(handler(request))
     _tasks.add(task)
@@ -27,4 +27,4 @@
     return await asyncio.shield(task)
 
 
-__all__ = ["run_handler"]
+__all__ = ["run_shielded"]
--- a/src/hyssopway/http/listener.py
+++ b/src/hyssopway/http/listener.py
@@ -24,10 +24,10 @@
         runner: Runs the application.
         max_connections: Most connections at a time.
         connections: Connections that are served.
-        listening: Listening socket while open.
+        tcp_server: Listening server while open; None otherwise.
     """
 
-    __slots__ = ("connections", "listening", "max_connections", "runner")
+    __slots__ = ("connections", "max_connections", "runner", "tcp_server")
 
     def __init__(self, *, app: web.Application, shutdown_s: float, max_connections: int = 4096) -> None:
         self.runner = web.AppRunner(
@@ -35,7 +35,7 @@
         )
         self.max_connections = max_connections
         self.connections: set[ConnectionHandler] = set()
-        self.listening: asyncio.Server | None = None
+        self.tcp_server: asyncio.Server | None = None
 
     async def open(self, *, host: str, port: int, tls: ssl.SSLContext | None = None) -> None:
         """Starts to listen."""
@@ -45,12 +45,12 @@
             raise RuntimeError("the HTTP application is not set up")
         loop = asyncio.get_running_loop()
 
-        def serve() -> asyncio.Protocol:
+        def create_protocol() -> asyncio.Protocol:
             if len(self.connections) >= self.max_connections:
                 return RefusedConnection(loop=loop, limit=self.max_connections)
             return ConnectionHandler(server, loop=loop, connections=self.connections)
 
-        self.listening = await loop.create_server(serve, host, port, ssl=tls, backlog=BACKLOG)
+        self.tcp_server = await loop.create_server(create_protocol, host, port, ssl=tls, backlog=BACKLOG)
 
     async def close(self, *, finish: Callable[[], Awaitable[None]] | None = None) -> None:
         """Stops to listen and waits for requests in progress.
@@ -58,8 +58,8 @@
         Args:
             finish: Waits for requests that may take longer than `shutdown_s`.
         """
-        if self.listening is not None:
-            self.listening.close()
+        if self.tcp_server is not None:
+            self.tcp_server.close()
         if finish is not None:
             await finish()
         await self.runner.cleanup()
--- a/src/hyssopway/http/error_answers.py
+++ b/src/hyssopway/http/middleware.py
@@ -10,8 +10,8 @@
 from hyssopway.event import Event, log_event
 from hyssopway.result import Failure, ResultCode, WorkState
 
-from .answers import failure_response
-from .finishing import run_handler
+from .handler_shield import run_shielded
+from .responses import failure_response
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -19,7 +19,7 @@
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 # These values are kept in agreed state on every daemon.
-LIMITED_FIELDS = ("Idempotency-Key", "Hyssopway-Operator")
+LIMITED_HEADERS = ("Idempotency-Key", "Hyssopway-Operator")
 MAX_ID_CHARACTERS = 256
 
 _CODES = {
@@ -32,16 +32,16 @@
 
 
 @web.middleware
-async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+async def error_middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
     """Turns exceptions of handlers and of the router into numbered JSON answers."""
-    for name in LIMITED_FIELDS:
+    for name in LIMITED_HEADERS:
         if len(request.headers.get(name, "")) > MAX_ID_CHARACTERS:
             message = f"header {name} is longer than {MAX_ID_CHARACTERS} characters"
             return failure_response(Failure(code=ResultCode.HEADER_TOO_LARGE, message=message))
     try:
-        return await run_handler(request, handler)
+        return await run_shielded(request, handler)
     except web.HTTPException as error:
-        return _answer_http_error(request, error=error)
+        return _http_error_response(request, error=error)
     except (web.RequestPayloadError, ConnectionResetError) as error:
         message = f"the request body could not be read: {error}"
         return failure_response(Failure(code=ResultCode.MALFORMED_REQUEST, message=message))
@@ -53,7 +53,7 @@
         )
 
 
-def _answer_http_error(request: web.Request, *, error: web.HTTPException) -> web.Response:
+def _http_error_response(request: web.Request, *, error: web.HTTPException) -> web.Response:
     code = _CODES.get(HTTPStatus(error.status), ResultCode.MALFORMED_REQUEST)
     match error:
         case web.HTTPMethodNotAllowed():
@@ -63,10 +63,10 @@
             message = f"{request.path} does not exist; docs/http-api.md lists all routes"
         case _:
             message = error.text or error.reason
-    answer = failure_response(Failure(code=code, message=message))
+    response = failure_response(Failure(code=code, message=message))
     if "Allow" in error.headers:
-        answer.headers["Allow"] = error.headers["Allow"]
-    return answer
+        response.headers["Allow"] = error.headers["Allow"]
+    return response
 
 
-__all__ = ["answer_errors"]
+__all__ = ["error_middleware"]
--- a/src/hyssopway/http/refused_connection.py
+++ b/src/hyssopway/http/refused_connection.py
@@ -6,7 +6,7 @@
 
 from hyssopway.result import Failure, ResultCode
 
-from .connection_handler import raw_answer
+from .connection_handler import encode_error_response
 
 # Closing at once would reset the connection, and the caller would lose the answer with its unread request.
 LINGER_S = 1.0
@@ -39,7 +39,9 @@
         if not self.answered and self.transport is not None:
             self.answered = True
             message = f"this entry VM serves {self.limit} connections, its limit; use another one"
-            self.transport.write(raw_answer(Failure(code=ResultCode.TOO_MANY_CONNECTIONS, message=message)))
+            self.transport.write(
+                encode_error_response(Failure(code=ResultCode.TOO_MANY_CONNECTIONS, message=message))
+            )
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Forgets the connection."""
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -21,7 +21,7 @@
 from hyssopway.gateway.claims import ClaimKeeper
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
-from hyssopway.http import HttpListener, answer_errors
+from hyssopway.http import HttpListener, error_middleware
 from hyssopway.metrics import Metrics
 from hyssopway.replica import Freshness
 from hyssopway.result import Failure, ResultCode, WorkState
@@ -241,11 +241,11 @@
         max_body_bytes=256 * KIB,
         clock=clock,
     )
-    app = web.Application(middlewares=[answer_errors])
+    app = web.Application(middlewares=[error_middleware])
     gateway.add_routes(app)
     listener = HttpListener(app=app, shutdown_s=1)
     await listener.open(host="127.0.0.1", port=0)
-    host, port = listener.listening.sockets[0].getsockname()[:2]
+    host, port = listener.tcp_server.sockets[0].getsockname()[:2]
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=10)) as session:
         made = Bench(f"http://{host}:{port}", gateway, submitter, registry, freshness, session)
         yield made
--- a/tests/http/test_bad_input.py
+++ b/tests/http/test_bad_input.py
@@ -9,8 +9,15 @@
 from aiohttp import web
 from pydantic import TypeAdapter
 
-from hyssopway.http import HttpListener, answer_errors, bodies, connection_handler, json_response, read_json
-from hyssopway.http.answers import failure_response
+from hyssopway.http import (
+    HttpListener,
+    connection_handler,
+    error_middleware,
+    json_response,
+    read_json,
+    request_body,
+)
+from hyssopway.http.responses import failure_response
 from hyssopway_standins.waiting import wait_until
 
 HOST = "127.0.0.1"
@@ -29,13 +36,13 @@
 @pytest.fixture
 async def port(monkeypatch):
     monkeypatch.setattr(connection_handler, "HEAD_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(bodies, "BODY_TIMEOUT_S", 0.3)
-    app = web.Application(client_max_size=2000, middlewares=[answer_errors])
+    monkeypatch.setattr(request_body, "BODY_TIMEOUT_S", 0.3)
+    app = web.Application(client_max_size=2000, middlewares=[error_middleware])
     app.router.add_post("/take", take)
     app.router.add_get("/fail", fail)
     listener = HttpListener(app=app, shutdown_s=1)
     await listener.open(host=HOST, port=0)
-    yield listener.listening.sockets[0].getsockname()[1]
+    yield listener.tcp_server.sockets[0].getsockname()[1]
     await listener.close()
 
 
@@ -103,11 +110,11 @@
 
 async def test_connections_beyond_the_limit_are_refused_and_later_served():
     """Guards against a process that runs out of descriptors, and against a count that only grows."""
-    app = web.Application(middlewares=[answer_errors])
+    app = web.Application(middlewares=[error_middleware])
     app.router.add_post("/take", take)
     listener = HttpListener(app=app, shutdown_s=1, max_connections=2)
     await listener.open(host=HOST, port=0)
-    port = listener.listening.sockets[0].getsockname()[1]
+    port = listener.tcp_server.sockets[0].getsockname()[1]
     writers = [(await asyncio.open_connection(HOST, port))[1] for _ in range(2)]
     for _ in range(3):
         status, body = await exchange(port, post(b"[1]"))
