--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -138,7 +138,7 @@
 
 def nearest_first(settings: DaemonSettings) -> list[str]:
     """Returns the other daemons, those of the own zone first."""
-    others = sorted(settings.others(), key=lambda peer: (peer.zone != settings.zone, peer.name))
+    others = sorted(settings.other_peers(), key=lambda peer: (peer.zone != settings.zone, peer.name))
     return [peer.name for peer in others]
 
 
--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -79,7 +79,7 @@
 
     async def start(self) -> None:
         """Opens durable state, starts all tasks and listens."""
-        own = self.settings.own
+        own = self.settings.own_address
         if self.member is not None:
             await open_member(self, member=self.member)
         tls = self.settings.tls
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -70,7 +70,7 @@
             own_name=settings.name,
             ledger=self.ledger,
             peers=group.peers,
-            others={peer.name: peer.zone == settings.zone for peer in settings.others()},
+            others={peer.name: peer.zone == settings.zone for peer in settings.other_peers()},
             clock=clock,
         )
         self.router = Router(homes=self.homes, health=EndpointHealth(clock=clock), clock=clock)
@@ -80,7 +80,7 @@
             router=self.router,
             peers=group.peers,
             others=nearest_first(settings),
-            near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
+            near=frozenset(peer.name for peer in settings.other_peers() if peer.zone == settings.zone),
         )
         self.registry.on_new_endpoint = self.collector.begin
 
--- a/src/hyssopway/daemon/status.py
+++ b/src/hyssopway/daemon/status.py
@@ -52,7 +52,7 @@
 
 async def group_with_state(daemon: Daemon) -> str:
     """Returns a daemon that already knows committed changes; empty when none answers so."""
-    statuses = await asyncio.gather(*(_ask(daemon, name=peer.name) for peer in daemon.settings.others()))
+    statuses = await asyncio.gather(*(_ask(daemon, name=peer.name) for peer in daemon.settings.other_peers()))
     return next((str(status["daemon"]) for status in statuses if status.get("has_agreed_state")), "")
 
 
--- a/src/hyssopway/document/__init__.py
+++ b/src/hyssopway/document/__init__.py
@@ -4,7 +4,6 @@
 
 from .budget import Budget
 from .buffer_policy import BufferPolicy
-from .checking import check_document, digest_document, parse_document
 from .environment_document import EnvironmentDocument
 from .job_policy import JobPolicy
 from .maintenance_policy import MaintenancePolicy
@@ -13,6 +12,7 @@
 from .resources import Resources
 from .service import QueueAccess, Service
 from .team import Team
+from .validation import check_document, digest_document, parse_document
 
 __all__ = [
     "Budget",
--- a/src/hyssopway/document/checking.py
+++ b/src/hyssopway/document/validation.py
@@ -10,7 +10,7 @@
 
 from .environment_document import EnvironmentDocument
 from .problem import Problem
-from .reference_checking import find_unknown_pools
+from .unknown_pools import find_unknown_pools
 from .yaml_reading import parse_yaml, validate
 
 if TYPE_CHECKING:
@@ -36,7 +36,10 @@
 
 def check_document(*, document: EnvironmentDocument, file: str) -> list[Problem]:
     """Checks references inside a document."""
-    return [*_find_duplicates(document=document, file=file), *_find_dangling(document=document, file=file)]
+    return [
+        *_find_duplicates(document=document, file=file),
+        *_find_invalid_references(document=document, file=file),
+    ]
 
 
 def digest_document(*, text: str) -> str:
@@ -60,7 +63,7 @@
                 )
 
 
-def _find_dangling(*, document: EnvironmentDocument, file: str) -> Iterator[Problem]:
+def _find_invalid_references(*, document: EnvironmentDocument, file: str) -> Iterator[Problem]:
     pools = [pool.name for pool in document.pools]
     for position, service in enumerate(document.services):
         if service.pool not in pools:
--- a/src/hyssopway/peer/directory.py
+++ b/src/hyssopway/peer/directory.py
@@ -39,7 +39,7 @@
                 token=settings.peer_token,
                 tls=tls,
             )
-            for peer in settings.others()
+            for peer in settings.other_peers()
         }
 
     def client(self, daemon: str) -> PeerClient:
--- a/src/hyssopway/settings/daemon_settings.py
+++ b/src/hyssopway/settings/daemon_settings.py
@@ -58,20 +58,20 @@
     tls: TlsSettings | None = field(default=None)
 
     @property
-    def own(self) -> PeerAddress:
+    def own_address(self) -> PeerAddress:
         """Address of this daemon."""
         return self.peer(name=self.name)
 
     @property
     def zone(self) -> str:
         """Availability zone of this daemon."""
-        return self.own.zone
+        return self.own_address.zone
 
     def peer(self, *, name: str) -> PeerAddress:
         """Returns the address of a daemon by name."""
         return next(peer for peer in self.peers if peer.name == name)
 
-    def others(self) -> Iterator[PeerAddress]:
+    def other_peers(self) -> Iterator[PeerAddress]:
         """Yields all other daemons."""
         return (peer for peer in self.peers if peer.name != self.name)
 
--- a/src/hyssopway/settings/loading.py
+++ b/src/hyssopway/settings/loading.py
@@ -30,13 +30,13 @@
             pass
     match validate(adapter=_ADAPTER, data=data, file=str(path)):
         case Result(tag="ok", ok=settings):
-            problems = list(_find_conflicts(settings=settings, file=str(path)))
+            problems = list(_find_inconsistencies(settings=settings, file=str(path)))
             return Error(problems) if problems else Ok(settings)
         case Result(error=problems):
             return Error(problems)
 
 
-def _find_conflicts(*, settings: DaemonSettings, file: str) -> list[Problem]:
+def _find_inconsistencies(*, settings: DaemonSettings, file: str) -> list[Problem]:
     problems = []
     names = [peer.name for peer in settings.peers]
     if settings.name not in names:
@@ -51,7 +51,7 @@
         Problem(file=file, path="peers", found=f"{host}:{port} twice", allowed="each address once")
         for host, port in shared
     ]
-    if settings.name in names and settings.own.member and settings.data_dir is None:
+    if settings.name in names and settings.own_address.member and settings.data_dir is None:
         problems.append(
             Problem(file=file, path="data_dir", found="nothing", allowed="a folder, since this is a member")
         )
--- a/src/hyssopway/settings/peer_address.py
+++ b/src/hyssopway/settings/peer_address.py
@@ -9,12 +9,12 @@
 from pydantic import AfterValidator, Field
 
 
-def _check_ip_number(text: str) -> str:
+def _validate_ip_address(text: str) -> str:
     ipaddress.ip_address(text)
     return text
 
 
-IpNumber = Annotated[str, AfterValidator(_check_ip_number)]
+IpAddress = Annotated[str, AfterValidator(_validate_ip_address)]
 Port = Annotated[int, Field(ge=1, le=65_535)]
 
 
@@ -33,7 +33,7 @@
 
     name: str
     zone: str
-    host: IpNumber
+    host: IpAddress
     http_port: Port
     peer_port: Port
     member: bool = False
