--- a/src/hyssopway/replica/__init__.py
+++ b/src/hyssopway/replica/__init__.py
@@ -1,4 +1,4 @@
-"""The agreed state on a daemon: replica, freshness and submission of changes."""
+"""Replicated state on a daemon: the replica, its freshness and the submission of commands."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/replica/following.py
+++ b/src/hyssopway/replica/following.py
@@ -1,4 +1,4 @@
-"""Keeps a replica current and confirmed."""
+"""Keeps a replica up to date and confirms its freshness."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 WATCH_WAIT_S = 0.5
 CALL_TIMEOUT_S = 1.0
 RETRY_S = 0.2
-# A daemon confirms a new watcher only after it has reported it to the leader, which it does every 0.5 s.
-PATIENCE_S = 1.5
+# An upstream confirms a new watcher only after it has reported it to the leader, which it does every 0.5 s.
+NO_PROGRESS_TIMEOUT_S = 1.5
 SNAPSHOT_TIMEOUT_S = 10.0
 
 
@@ -35,14 +35,15 @@
     quorum_acked_at: Callable[[], float],
     own_name: str,
 ) -> None:
-    """Confirms the replica of a control member, whose entries come with the log.
+    """Confirms the replica of a control member, whose entries arrive through the log.
 
     Args:
-        replica: Replica fed by the log.
-        freshness: What is confirmed.
+        replica: Replica that the log is applied to.
+        freshness: Freshness of the replica.
         peers: Clients of the other daemons.
-        find_leader: Returns the daemon that leads; empty when unknown.
-        quorum_acked_at: Returns the confirmed time while this daemon leads.
+        find_leader: Returns the name of the leader; empty when unknown.
+        quorum_acked_at: Returns the local time up to which a quorum confirmed this daemon as leader;
+            negative infinity without one.
         own_name: Name of this daemon.
     """
     while True:
@@ -61,34 +62,34 @@
 async def follow_upstream(
     *, replica: Replica, freshness: Freshness, peers: PeerDirectory, upstreams: list[str]
 ) -> None:
-    """Feeds and confirms the replica of a daemon without a log.
+    """Updates and confirms the replica of a daemon without a log.
 
     Args:
-        replica: Replica to feed.
-        freshness: What is confirmed.
+        replica: Replica to update.
+        freshness: Freshness of the replica.
         peers: Clients of the other daemons.
-        upstreams: Daemons to watch, the preferred first; one that fails or is not confirmed itself is
-            left for the next.
+        upstreams: Daemons to watch, the preferred one first. The next one takes over from one that fails
+            or that is not confirmed itself.
     """
-    position = 0
-    useful_at = freshness.clock()
+    upstream_index = 0
+    last_progress_at = freshness.clock()
     while True:
-        client = peers.client(upstreams[position % len(upstreams)])
+        client = peers.client(upstreams[upstream_index % len(upstreams)])
         try:
-            useful = await _watch_once(client=client, replica=replica, freshness=freshness)
-            given_up = freshness.clock() - useful_at > PATIENCE_S
+            made_progress = await _watch_once(client=client, replica=replica, freshness=freshness)
+            must_switch = freshness.clock() - last_progress_at > NO_PROGRESS_TIMEOUT_S
         except PeerUnreachableError:
-            useful, given_up = False, True
+            made_progress, must_switch = False, True
         freshness.log_validity_change()
-        if useful or given_up:
-            useful_at = freshness.clock()
-        if not useful:
-            position += given_up
+        if made_progress or must_switch:
+            last_progress_at = freshness.clock()
+        if not made_progress:
+            upstream_index += must_switch
             await asyncio.sleep(_with_jitter(RETRY_S))
 
 
 def _with_jitter(seconds: float) -> float:
-    # Followers that lost the same daemon do not all come to the next one at the same moment.
+    # Keeps followers that lost the same upstream from all calling the next one at the same moment.
     return seconds * random.uniform(0.5, 1.5)
 
 
@@ -100,7 +101,8 @@
         return
     await replica.wait_applied_past(reply.commit_index - 1, timeout_s=CALL_TIMEOUT_S)
     if replica.applied_index >= reply.commit_index:
-        # The answer was written after it was asked for, so counting from the question is on the safe side.
+        # The age refers to the time of the reply. Subtracting it from the earlier time of the request errs on
+        # the safe side.
         freshness.confirm(at=sent_at - reply.confirmed_age_s)
         if isfinite(reply.confirmed_age_s):
             freshness.confirm_index(index=reply.commit_index)
@@ -117,7 +119,8 @@
     _apply(reply=reply, replica=replica)
     if replica.applied_index >= reply.applied_index:
         freshness.confirm(at=sent_at + reply.waited_s - reply.confirmed_age_s)
-        # The leader does not take back runs of a daemon without a log: its contacts come second-hand.
+        # The leader revokes no runs of a daemon without a log, because it learns of that daemon's calls only
+        # from other daemons. So no confirmation by the leader itself is needed here.
         freshness.confirm_index(index=replica.applied_index)
     return freshness.is_valid or bool(reply.entries)
 
@@ -130,19 +133,19 @@
 
 
 async def _read_snapshot(*, client: PeerClient, replica: Replica) -> None:
-    parts = bytearray()
+    snapshot = bytearray()
     index = 0
     while True:
-        part = await client.read_snapshot(offset=len(parts), timeout_s=SNAPSHOT_TIMEOUT_S)
-        if parts and part.index != index:
-            return  # replaced by a later one in the meantime; the next watch starts again
+        part = await client.read_snapshot(offset=len(snapshot), timeout_s=SNAPSHOT_TIMEOUT_S)
+        if snapshot and part.index != index:
+            return  # a newer snapshot replaced it in the meantime; the next watch starts over
         index = part.index
-        parts += part.data
-        if len(parts) >= part.total:
+        snapshot += part.data
+        if len(snapshot) >= part.total:
             break
         if not part.data:
             return
-    replica.restore_snapshot(bytes(parts))
+    replica.restore_snapshot(bytes(snapshot))
 
 
 __all__ = ["follow_leader", "follow_upstream"]
--- a/src/hyssopway/replica/freshness.py
+++ b/src/hyssopway/replica/freshness.py
@@ -10,21 +10,24 @@
 if TYPE_CHECKING:
     from hyssopway.clock import Clock
 
-# Withdrawn keys and zones must stop within 5 s also behind a partition; this leaves 2 s for the way.
+# A withdrawn key or zone must take effect within 5 s even in a partition; 2 s of them are left for the
+# confirmations to arrive.
 AUTHORITY_TTL_S = 3.0
 
 
 class Freshness:
-    """Local time up to which the replica surely holds everything agreed.
+    """Local time up to which the replica is known to hold every committed entry.
 
-    Every check reads the clock again, so a process that was frozen finds its authority expired.
+    The authority to act on the replica expires `AUTHORITY_TTL_S` after that time. Every check reads the
+    clock again, so a process that was suspended finds its authority expired.
 
     Attributes:
-        clock: Monotonic seconds.
-        confirmed_at: Local time of the confirmation.
-        confirmed_index: Largest index that the leader knows this daemon may act on.
-        confirmation_requested: Set when a confirmation is wanted at once.
-        index_confirmed: Set when `confirmed_index` grew.
+        clock: Returns monotonic seconds.
+        confirmed_at: Local time up to which the replica was confirmed; negative infinity when never.
+        confirmed_index: Largest index that the leader knows it has confirmed to this daemon.
+        confirmation_requested: Set when the next confirmation is needed immediately.
+        index_confirmed: Set when `confirmed_index` increases.
+        was_valid: Validity that was logged last.
     """
 
     __slots__ = (
@@ -46,26 +49,30 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the confirmed time; infinite when never confirmed."""
+        """Seconds since `confirmed_at`; infinite when never confirmed."""
         return self.clock() - self.confirmed_at
 
     @property
     def is_valid(self) -> bool:
-        """Whether decisions that need current state may be made."""
+        """Whether the replica is fresh enough to act on."""
         return self.age_s <= AUTHORITY_TTL_S
 
     def confirm(self, *, at: float) -> None:
-        """Records that everything agreed before a local time is applied."""
+        """Records that everything committed before a local time is applied."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def confirm_index(self, *, index: int) -> None:
-        """Records that the leader confirmed everything up to an index to this daemon."""
+        """Records that the leader confirmed all entries up to an index to this daemon."""
         if index > self.confirmed_index:
             self.confirmed_index = index
             self.index_confirmed.set()
 
     async def wait_confirmed(self, index: int, *, timeout_s: float) -> bool:
-        """Asks for a confirmation at once and waits until it covers an index."""
+        """Requests an immediate confirmation and waits until one reaches an index.
+
+        Returns:
+            False when the timeout passed first.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 while self.confirmed_index < index:
@@ -77,7 +84,7 @@
         return True
 
     async def wait_interval(self, seconds: float) -> None:
-        """Waits before the next confirmation unless one is wanted at once."""
+        """Waits until the next confirmation is due or requested."""
         try:
             async with asyncio.timeout(seconds):
                 await self.confirmation_requested.wait()
@@ -86,7 +93,7 @@
         self.confirmation_requested.clear()
 
     def log_validity_change(self) -> None:
-        """Logs when authority expires and when it is confirmed again."""
+        """Logs that authority expired or was confirmed again since the last call."""
         if self.was_valid and not self.is_valid:
             log_event(Event.AUTHORITY_EXPIRED, age_s=self.age_s)
         if not self.was_valid and self.is_valid:
--- a/src/hyssopway/replica/proposer.py
+++ b/src/hyssopway/replica/proposer.py
@@ -1,4 +1,4 @@
-"""Proposes commands on the daemon that leads."""
+"""Proposes commands on the leader."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class Proposer:
-    """Gives commands their time and hands them to the control member.
+    """Stamps commands with cluster time and proposes them to the local control member.
 
     Attributes:
         member: Control member of this daemon.
-        replica: Agreed state of this daemon.
-        cluster_clock: Time of the agreed state.
-        wall_ms: Wall-clock milliseconds, for display.
+        replica: Replicated state of this daemon.
+        cluster_clock: Clock of the replicated state.
+        wall_ms: Returns wall-clock milliseconds, for display only.
     """
 
     __slots__ = ("cluster_clock", "member", "replica", "wall_ms")
@@ -39,14 +39,14 @@
         self.wall_ms = wall_ms
 
     def now_ms(self) -> int:
-        """Returns agreed time; only meaningful while this daemon leads."""
+        """Returns cluster time in milliseconds; only meaningful while this daemon leads."""
         return self.cluster_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
 
     async def propose(self, *, command: bytes, timeout_s: float) -> Result[Outcome, Failure]:
         """Proposes an encoded command.
 
         Raises:
-            ValueError: The bytes are not a command of this release.
+            ValueError: This release cannot decode the command.
         """
         data = wrap_command(command, at_ms=self.now_ms(), wall_ms=self.wall_ms())
         return await self.member.propose(data=data, timeout_s=timeout_s)
--- a/src/hyssopway/replica/replica.py
+++ b/src/hyssopway/replica/replica.py
@@ -1,4 +1,4 @@
-"""The agreed state on one daemon."""
+"""The replicated state on one daemon."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 if TYPE_CHECKING:
     from hyssopway.control import Outcome
 
-# A follower that missed more entries reads a snapshot instead.
+# A follower that lags by more entries reads a snapshot instead.
 MAX_RECENT_ENTRIES = 2000
 
 
 class Replica:
-    """Agreed state that only moves forward, with the entries that made it.
+    """Replicated state whose applied index never decreases, with its most recent entries.
 
     Attributes:
         state: The state.
-        recent_entries: Last entries applied, for followers of this daemon.
-        snapshot: Index and bytes of the snapshot that readers are in the middle of.
-        vm_change_events: Event of the request that waits for orders to a VM.
-        change_events: Events of tasks that wait for a change.
+        recent_entries: Last entries applied, kept for the followers of this daemon.
+        snapshot: Index and bytes of the snapshot that is being sent to followers.
+        vm_change_events: By VM, the event of the request that waits for orders to that VM.
+        change_events: Events of the tasks that wait for new entries.
     """
 
     __slots__ = ("change_events", "recent_entries", "snapshot", "state", "vm_change_events")
@@ -42,7 +42,7 @@
 
     @property
     def first_kept_index(self) -> int:
-        """Index of the oldest entry that is kept."""
+        """Index of the oldest entry that is still kept."""
         return self.applied_index - len(self.recent_entries) + 1
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
@@ -59,7 +59,7 @@
         return self.state.encode_snapshot()
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Takes over a snapshot unless it is older than the state."""
+        """Replaces the state by a snapshot unless the snapshot is not newer."""
         state = ControlState()
         state.restore_snapshot(data)
         if state.applied_index <= self.state.applied_index:
@@ -71,27 +71,31 @@
             self.notify_vm(vm)
 
     def entries_after(self, index: int) -> tuple[bytes, ...] | None:
-        """Returns the entries behind an index, or None when they are no longer kept."""
+        """Returns the entries after an index, or None when some of them are no longer kept."""
         if index + 1 < self.first_kept_index:
             return None
         missing = self.applied_index - index
         return tuple(self.recent_entries[position] for position in range(-missing, 0))
 
     def cached_snapshot(self, *, offset: int) -> tuple[int, bytes]:
-        """Returns index and bytes of a snapshot; a new one only for a reader at its start.
+        """Returns index and bytes of the current snapshot; renews it only for a read at offset 0.
 
-        The snapshot is shared while its readers can go on with the entries that are kept, so that many
-        followers that start together neither have it encoded for each nor replace it under one another.
+        Readers share a snapshot while the entries after it are still kept. Many followers that start
+        together neither encode one each nor replace the one that another is reading.
         """
-        too_old = self.applied_index - self.snapshot[0] > min(
+        is_outdated = self.applied_index - self.snapshot[0] > min(
             len(self.recent_entries), MAX_RECENT_ENTRIES // 2
         )
-        if offset == 0 and (too_old or not self.snapshot[1]):
+        if offset == 0 and (is_outdated or not self.snapshot[1]):
             self.snapshot = (self.applied_index, self.encode_snapshot())
         return self.snapshot
 
     async def wait_applied_past(self, index: int, *, timeout_s: float) -> bool:
-        """Waits until something behind an index is applied."""
+        """Waits until an entry after an index is applied.
+
+        Returns:
+            False when the timeout passed first.
+        """
         event = asyncio.Event()
         self.change_events.add(event)
         try:
@@ -106,7 +110,7 @@
         return True
 
     def notify_vm(self, vm: str) -> None:
-        """Wakes the request that waits for orders to a VM."""
+        """Wakes up the request that waits for orders to a VM."""
         if event := self.vm_change_events.get(vm):
             event.set()
 
--- a/src/hyssopway/replica/submitter.py
+++ b/src/hyssopway/replica/submitter.py
@@ -1,4 +1,4 @@
-"""Brings commands to the leader."""
+"""Submits commands to the leader."""
 
 from __future__ import annotations
 
@@ -25,17 +25,18 @@
 
 
 class Submitter:
-    """Submits commands and repeats them until their outcome is known.
+    """Submits commands and retries them until their outcome is known.
 
-    Commands may be repeated: each names its own identity or the epoch that it expects.
+    Retries are safe: each command carries a request ID or the epoch that it expects.
 
     Attributes:
         own_name: Name of this daemon.
-        proposer: Way into the log on this daemon; None without a disk.
+        proposer: Proposes commands on this daemon; None on a daemon without a disk.
         peers: Clients of the other daemons.
-        members: Daemons that carry control members.
-        replica: Agreed state of this daemon.
-        leader: Daemon that led last; empty when unknown.
+        members: Names of the daemons with a control member.
+        replica: Replicated state of this daemon.
+        clock: Returns monotonic seconds.
+        leader: Last known leader; empty when unknown.
     """
 
     __slots__ = ("clock", "leader", "members", "own_name", "peers", "proposer", "replica")
@@ -63,31 +64,31 @@
 
         Args:
             command: The command.
-            timeout_s: Seconds after which the outcome is given up.
+            timeout_s: Seconds to wait for the outcome.
 
         Returns:
-            The outcome once this daemon has applied it too, a refusal of the state machine, NO_QUORUM
+            The outcome once this daemon has applied it too, the refusal of the state machine, NO_QUORUM
             when nothing was changed, or OUTCOME_UNKNOWN when the change may still take effect.
         """
         deadline = self.clock() + timeout_s
         data = encode_command(command)
-        sent = False
+        may_have_run = False
         attempt = 0
         while (left_s := deadline - self.clock()) > 0:
             target = self._choose_target(attempt=attempt)
             attempt += 1
-            match await self._try_once(target=target, data=data, timeout_s=min(left_s, CALL_TIMEOUT_S)):
+            match await self._attempt(target=target, data=data, timeout_s=min(left_s, CALL_TIMEOUT_S)):
                 case Result(tag="ok", ok=outcome):
                     self.leader = target
                     await self.replica.wait_applied_past(outcome.index - 1, timeout_s=max(0.0, left_s))
                     return Error(outcome.failure) if outcome.failure else Ok(outcome)
                 case Result(error=failure):
-                    sent = sent or failure.work is WorkState.MAY_HAVE_RUN
+                    may_have_run = may_have_run or failure.work is WorkState.MAY_HAVE_RUN
                     if failure.code is not ResultCode.NOT_LEADER or not self.leader:
                         await asyncio.sleep(RETRY_S)
-        return Error(_give_up(sent=sent))
+        return Error(_timeout_failure(may_have_run=may_have_run))
 
-    async def _try_once(self, *, target: str, data: bytes, timeout_s: float) -> Result[Outcome, Failure]:
+    async def _attempt(self, *, target: str, data: bytes, timeout_s: float) -> Result[Outcome, Failure]:
         if target == self.own_name and self.proposer is not None:
             result = await self.proposer.propose(command=data, timeout_s=timeout_s)
             if result.is_error() and result.error.code is ResultCode.NOT_LEADER:
@@ -103,7 +104,7 @@
         if reply.accepted:
             return Ok(decode_outcome(reply.outcome))
         self.leader = reply.leader if reply.leader != target else ""
-        return Error(Failure(code=ResultCode.NOT_LEADER, message=f"{target} does not lead"))
+        return Error(Failure(code=ResultCode.NOT_LEADER, message=f"{target} is not the leader"))
 
     def _choose_target(self, *, attempt: int) -> str:
         if self.leader:
@@ -113,13 +114,11 @@
         return self.members[attempt % len(self.members)]
 
 
-def _give_up(*, sent: bool) -> Failure:
-    if sent:
-        message = (
-            "no outcome in time; the change may still take effect, send it again with the same request id"
-        )
+def _timeout_failure(*, may_have_run: bool) -> Failure:
+    if may_have_run:
+        message = "no outcome in time; the change may still take effect, retry with the same request id"
         return Failure(code=ResultCode.OUTCOME_UNKNOWN, message=message, work=WorkState.MAY_HAVE_RUN)
-    message = "no quorum of control members can be reached; nothing was changed, try again later"
+    message = "no quorum of control members is reachable; nothing was changed, retry later"
     return Failure(code=ResultCode.NO_QUORUM, message=message, retry_after_s=1.0)
 
 
--- a/tests/replica/test_following.py
+++ b/tests/replica/test_following.py
@@ -1,4 +1,4 @@
-"""Followers that missed changes, over a client that calls the handlers of the upstream directly."""
+"""Followers that lag behind, with a client that calls the handlers of the upstream directly."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Upstream:
-    """A daemon with a replica; stands for its client too."""
+    """A daemon with a replica; serves as its own client too."""
 
     def __init__(self) -> None:
         self.replica = Replica()
@@ -34,10 +34,10 @@
         )
         self.delay_s = 0.0
         self.reachable = True
-        self.asked = 0
+        self.watch_calls = 0
 
-    def fill(self, count: int) -> None:
-        """Applies and confirms that many changes."""
+    def add_entries(self, count: int) -> None:
+        """Applies `count` entries and confirms the replica."""
         for _ in range(count):
             index = self.replica.applied_index + 1
             command = GrantKey(
@@ -49,9 +49,9 @@
 
     async def watch(self, *, from_index: int, wait_s: float, timeout_s: float) -> Any:
         """Asks for entries."""
-        self.asked += 1
+        self.watch_calls += 1
         if not self.reachable:
-            raise PeerUnreachableError("cut")
+            raise PeerUnreachableError("partition")
         reply = await self.calls.watch(daemon="f", from_index=from_index, wait_s=wait_s)
         await asyncio.sleep(self.delay_s)
         return reply
@@ -62,65 +62,65 @@
         return await self.calls.read_snapshot(offset=offset)
 
 
-async def test_watcher_is_confirmed_only_up_to_its_contact_that_the_leader_knows():
-    """Guards against a home without a log that renews leases after the leader has ended its runs."""
+async def test_watcher_is_confirmed_only_up_to_its_last_contact_known_to_leader():
+    """Guards against a home without a log that renews leases after the leader ended its runs."""
     upstream = Upstream()
-    upstream.fill(1)
+    upstream.add_entries(1)
     upstream.calls.vouched = {}
-    unknown = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
-    assert math.isinf(unknown.confirmed_age_s)
+    unreported = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
+    assert math.isinf(unreported.confirmed_age_s)
     upstream.calls.vouched["f"] = time.monotonic() - 2.0
-    known = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
-    assert 2.0 <= known.confirmed_age_s < 3.0
+    reported = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
+    assert 2.0 <= reported.confirmed_age_s < 3.0
 
 
-class Directory:
-    """Clients by name."""
+class FakeDirectory:
+    """Upstreams by daemon name, in place of a `PeerDirectory`."""
 
     def __init__(self, upstreams: dict[str, Upstream]) -> None:
         self.upstreams = upstreams
 
     def client(self, name: str) -> Any:
-        """Returns the client of a daemon."""
+        """Returns the upstream of that name."""
         return self.upstreams[name]
 
 
 def follow(replica: Replica, freshness: Freshness, **upstreams: Upstream) -> asyncio.Task[None]:
-    directory: Any = Directory(upstreams)
+    directory: Any = FakeDirectory(upstreams)
     return asyncio.create_task(
         follow_upstream(replica=replica, freshness=freshness, peers=directory, upstreams=list(upstreams))
     )
 
 
-async def reach(replica: Replica, index: int) -> None:
+async def wait_for_index(replica: Replica, index: int) -> None:
     assert await replica.wait_applied_past(index - 1, timeout_s=20), replica.applied_index
 
 
 @pytest.mark.parametrize(("missed", "snapshots"), [(1, 0), (300, 0), (1999, 0), (10_000, 1)])
 async def test_follower_catches_up(monkeypatch: pytest.MonkeyPatch, missed: int, snapshots: int):
-    """Guards against a follower that stays behind or skips an entry."""
+    """Guards against a follower that keeps lagging or skips an entry."""
     monkeypatch.setattr(peer_calls, "SNAPSHOT_PART_BYTES", 300_000)
     upstream, replica, freshness = Upstream(), Replica(), Freshness(clock=time.monotonic)
-    upstream.fill(missed)
+    upstream.add_entries(missed)
     task = follow(replica, freshness, a=upstream)
-    await reach(replica, missed)
-    upstream.fill(10)
-    await reach(replica, missed + 10)
+    await wait_for_index(replica, missed)
+    upstream.add_entries(10)
+    await wait_for_index(replica, missed + 10)
     task.cancel()
     assert replica.encode_snapshot() == upstream.replica.encode_snapshot()
     assert bool(upstream.replica.snapshot[0]) == bool(snapshots)
     assert freshness.is_valid
 
 
-async def test_snapshot_replaced_while_it_is_read_is_not_mixed(monkeypatch: pytest.MonkeyPatch):
-    """Guards against a state put together from parts of two snapshots."""
+async def test_snapshot_replaced_during_a_read_is_discarded(monkeypatch: pytest.MonkeyPatch):
+    """Guards against a state assembled from parts of two snapshots."""
     monkeypatch.setattr(peer_calls, "SNAPSHOT_PART_BYTES", 1000)
     upstream, replica = Upstream(), Replica()
-    upstream.fill(3000)
+    upstream.add_entries(3000)
     client: Any = upstream
     reading = asyncio.create_task(_read_snapshot(client=client, replica=replica))
     await asyncio.sleep(0.005)
-    upstream.fill(3000)
+    upstream.add_entries(3000)
     await upstream.calls.read_snapshot(offset=0)
     await reading
     assert replica.applied_index == 0
@@ -129,43 +129,43 @@
 
 
 async def test_many_followers_share_one_snapshot(monkeypatch: pytest.MonkeyPatch):
-    """Guards against an encoding of the whole state for each of many followers that start together."""
-    encoded = []
-    plain = Replica.encode_snapshot
-    monkeypatch.setattr(Replica, "encode_snapshot", lambda self: encoded.append(1) or plain(self))
+    """Guards against encoding the whole state once for each of many followers that start together."""
+    encodings = []
+    original = Replica.encode_snapshot
+    monkeypatch.setattr(Replica, "encode_snapshot", lambda self: encodings.append(1) or original(self))
     upstream = Upstream()
-    upstream.fill(3000)
+    upstream.add_entries(3000)
     replicas = [Replica() for _ in range(60)]
     tasks = [follow(replica, Freshness(clock=time.monotonic), a=upstream) for replica in replicas]
     for number in range(20):
-        upstream.fill(1)
+        upstream.add_entries(1)
         await asyncio.sleep(0.002 * (number % 3))
-    await asyncio.gather(*(reach(replica, 3020) for replica in replicas))
+    await asyncio.gather(*(wait_for_index(replica, 3020) for replica in replicas))
     for task in tasks:
         task.cancel()
-    assert len(encoded) <= 2
+    assert len(encodings) <= 2
 
 
 async def test_followers_do_not_flood_an_unreachable_upstream():
-    """Guards against a herd of followers that ask a new upstream without a pause."""
+    """Guards against followers that call an upstream again and again without a pause."""
     upstream = Upstream()
     upstream.reachable = False
     tasks = [follow(Replica(), Freshness(clock=time.monotonic), a=upstream) for _ in range(20)]
     await asyncio.sleep(1)
     for task in tasks:
         task.cancel()
-    assert upstream.asked <= 20 * 11
+    assert upstream.watch_calls <= 20 * 11
 
 
-async def test_applied_index_never_goes_back_to_a_lagging_upstream():
-    """Guards against a change of upstream or a restored snapshot that takes a follower back."""
+async def test_applied_index_never_decreases_with_a_lagging_upstream():
+    """Guards against a change of upstream or an older snapshot that moves a follower back."""
     ahead, lagging = Upstream(), Upstream()
-    ahead.fill(2500)
-    lagging.fill(2200)
+    ahead.add_entries(2500)
+    lagging.add_entries(2200)
     replica, freshness = Replica(), Freshness(clock=time.monotonic)
     seen: list[int] = []
     task = follow(replica, freshness, a=ahead, b=lagging)
-    await reach(replica, 2500)
+    await wait_for_index(replica, 2500)
     ahead.reachable = False
     for _ in range(20):
         seen.append(replica.applied_index)
@@ -177,10 +177,10 @@
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.2, 0.4])
 @pytest.mark.parametrize("upstream_age_s", [0.0, 1.0, AUTHORITY_TTL_S - 0.1])
-async def test_confirmed_time_is_never_later_than_that_of_the_upstream(delay_s: float, upstream_age_s: float):
-    """Guards against a slow answer or a process that was stopped making old state look fresh."""
+async def test_confirmed_time_never_exceeds_that_of_upstream(delay_s: float, upstream_age_s: float):
+    """Guards against a slow reply or a suspended process that makes stale state look fresh."""
     upstream, replica, freshness = Upstream(), Replica(), Freshness(clock=time.monotonic)
-    upstream.fill(1)
+    upstream.add_entries(1)
     upstream.freshness.confirmed_at = time.monotonic() - upstream_age_s
     upstream.delay_s = delay_s
     client: Any = upstream
@@ -189,8 +189,8 @@
     assert freshness.confirmed_at >= upstream.freshness.confirmed_at - delay_s - 0.1
 
 
-async def test_wall_clock_steps_change_nothing(monkeypatch: pytest.MonkeyPatch):
-    """Guards against authority that depends on the wall clock."""
+async def test_wall_clock_steps_do_not_affect_freshness(monkeypatch: pytest.MonkeyPatch):
+    """Guards against validity that depends on the wall clock."""
     freshness = Freshness(clock=time.monotonic)
     freshness.confirm(at=time.monotonic())
     for step in (-1e6, 1e6):
