--- a/src/hyssopway/peer/__init__.py
+++ b/src/hyssopway/peer/__init__.py
@@ -1,4 +1,4 @@
-"""Calls between daemons."""
+"""RPC between daemons over Cap'n Proto."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/peer/client.py
+++ b/src/hyssopway/peer/client.py
@@ -1,4 +1,4 @@
-"""Calls other daemons over capnp."""
+"""Client of another daemon's RPC interface, over Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -33,26 +33,29 @@
 
 
 class PeerClient:
-    """Connection to one daemon, opened on the first call and again after a failure.
+    """Connection to one daemon, opened by the first call and reopened after a failure.
 
-    Every call raises `PeerUnreachableError` when there is no answer in time.
+    Every call raises `PeerUnreachableError` when it fails or gets no reply in time.
 
     Attributes:
-        daemon: Daemon that is called.
-        host: Its IP number.
+        daemon: Name of the daemon that is called.
+        host: Its IP address.
         port: Its peer port.
-        own_name: Name of the daemon that calls.
-        token: Secret that daemons share.
-        tls: Client context; plain TCP without.
+        own_name: Name of the calling daemon.
+        token: Secret that all daemons share.
+        tls: TLS context of the client; None for plain TCP.
+        client: Cap'n Proto client while connected.
         remote: Authenticated interface while connected.
+        connecting: Allows one attempt to connect at a time.
+        last_reply_at: Local time of the last reply.
     """
 
     __slots__ = (
-        "answered_at",
         "client",
         "connecting",
         "daemon",
         "host",
+        "last_reply_at",
         "own_name",
         "port",
         "remote",
@@ -79,66 +82,66 @@
         self.client: Any = None
         self.remote: Any = None
         self.connecting = asyncio.Lock()
-        self.answered_at = 0.0
+        self.last_reply_at = 0.0
 
     async def vote(self, *, request: VoteRequest, timeout_s: float) -> VoteReply:
         """Asks for a vote."""
         wire = conversion.vote_request_to_wire(request)
-        answer = await self._call(lambda remote: remote.vote(wire), timeout_s=timeout_s)
-        return conversion.vote_reply_from_wire(answer.reply)
+        response = await self._call(lambda remote: remote.vote(wire), timeout_s=timeout_s)
+        return conversion.vote_reply_from_wire(response.reply)
 
     async def append(self, *, request: AppendRequest, timeout_s: float) -> AppendReply:
-        """Sends entries or a heartbeat."""
+        """Sends log entries or a heartbeat."""
         wire = conversion.append_request_to_wire(request)
-        answer = await self._call(lambda remote: remote.append(wire), timeout_s=timeout_s)
-        return conversion.append_reply_from_wire(answer.reply)
+        response = await self._call(lambda remote: remote.append(wire), timeout_s=timeout_s)
+        return conversion.append_reply_from_wire(response.reply)
 
     async def install_snapshot(self, *, chunk: SnapshotChunk, timeout_s: float) -> AppendReply:
-        """Sends a part of a snapshot."""
+        """Sends a chunk of a snapshot."""
         wire = conversion.snapshot_chunk_to_wire(chunk)
-        answer = await self._call(lambda remote: remote.installSnapshot(wire), timeout_s=timeout_s)
-        return conversion.append_reply_from_wire(answer.reply)
+        response = await self._call(lambda remote: remote.installSnapshot(wire), timeout_s=timeout_s)
+        return conversion.append_reply_from_wire(response.reply)
 
     async def propose(self, *, command: bytes, timeout_s: float) -> ProposeReply:
         """Proposes a command."""
-        answer = await self._call(lambda remote: remote.propose(command), timeout_s=timeout_s)
-        return conversion.propose_reply_from_wire(answer.reply)
+        response = await self._call(lambda remote: remote.propose(command), timeout_s=timeout_s)
+        return conversion.propose_reply_from_wire(response.reply)
 
     async def confirm(self, *, timeout_s: float) -> ConfirmReply:
-        """Asks how fresh the leader's knowledge is."""
-        answer = await self._call(lambda remote: remote.confirm(self.own_name), timeout_s=timeout_s)
-        return conversion.confirm_reply_from_wire(answer.reply)
+        """Asks the leader to confirm its leadership and its commit index."""
+        response = await self._call(lambda remote: remote.confirm(self.own_name), timeout_s=timeout_s)
+        return conversion.confirm_reply_from_wire(response.reply)
 
     async def watch(self, *, from_index: int, wait_s: float, timeout_s: float) -> WatchReply:
-        """Asks for entries behind an index."""
+        """Waits up to `wait_s` for entries after an index."""
         wait_ms = round(wait_s * 1000)
-        answer = await self._call(
+        response = await self._call(
             lambda remote: remote.watch(self.own_name, from_index, wait_ms), timeout_s=timeout_s
         )
-        return conversion.watch_reply_from_wire(answer.reply)
+        return conversion.watch_reply_from_wire(response.reply)
 
     async def read_snapshot(self, *, offset: int, timeout_s: float) -> SnapshotPart:
-        """Asks for a part of the state."""
-        answer = await self._call(lambda remote: remote.readSnapshot(offset), timeout_s=timeout_s)
-        return SnapshotPart(data=bytes(answer.data), index=answer.index, total=answer.total)
+        """Reads a part of a snapshot of the state."""
+        response = await self._call(lambda remote: remote.readSnapshot(offset), timeout_s=timeout_s)
+        return SnapshotPart(data=bytes(response.data), index=response.index, total=response.total)
 
     async def credits(self, *, request: CreditRequest, timeout_s: float) -> CreditReply:
-        """Asks for slot credits."""
+        """Requests slot credits."""
         wire = conversion.credit_request_to_wire(request)
-        answer = await self._call(lambda remote: remote.credits(wire), timeout_s=timeout_s)
-        return conversion.credit_reply_from_wire(answer.reply)
+        response = await self._call(lambda remote: remote.credits(wire), timeout_s=timeout_s)
+        return conversion.credit_reply_from_wire(response.reply)
 
     async def held_credits(self, *, endpoint: str, timeout_s: float) -> list[Credit]:
-        """Asks which credits the daemon holds for an endpoint."""
-        answer = await self._call(
+        """Lists the credits that the daemon holds for an endpoint whose new home is the caller."""
+        response = await self._call(
             lambda remote: remote.heldCredits(endpoint, self.own_name), timeout_s=timeout_s
         )
-        return [conversion.credit_from_wire(credit) for credit in answer.credits]
+        return [conversion.credit_from_wire(credit) for credit in response.credits]
 
     async def exchange(self, *, topic: str, data: bytes, timeout_s: float) -> bytes:
-        """Exchanges soft state."""
-        answer = await self._call(lambda remote: remote.exchange(topic, data), timeout_s=timeout_s)
-        return bytes(answer.data)
+        """Exchanges in-memory state of a topic."""
+        response = await self._call(lambda remote: remote.exchange(topic, data), timeout_s=timeout_s)
+        return bytes(response.data)
 
     def close(self) -> None:
         """Closes the connection."""
@@ -150,31 +153,32 @@
         try:
             async with asyncio.timeout(timeout_s):
                 remote = await self._connect()
-                answer = await call(remote)
-                self.answered_at = monotonic_s()
-                return answer
+                response = await call(remote)
+                self.last_reply_at = monotonic_s()
+                return response
         except TimeoutError as error:
-            # A silent partition leaves the connection open; a new one finds out whether the peer is back.
-            # Other answers in the meantime show that only this call is slow.
-            if monotonic_s() - self.answered_at > timeout_s:
+            # A partition that drops packets leaves the connection open; only a new connection shows whether
+            # the peer is reachable again. A reply to another call in the meantime means that only this call
+            # is slow.
+            if monotonic_s() - self.last_reply_at > timeout_s:
                 self.close()
             raise PeerUnreachableError(f"{self.daemon} did not answer in {timeout_s:.2f} s") from error
         except (OSError, capnp.KjException) as error:
             reason = str(error).splitlines()[0] if str(error) else type(error).__name__
-            if not self._only_this_call_failed(error):
+            if not self._is_handler_error(error):
                 if self.client is not None:
                     log_event(Event.PEER_LOST, peer=self.daemon, error=reason)
                 self.close()
             raise PeerUnreachableError(f"{self.daemon}: {reason}") from error
 
-    def _only_this_call_failed(self, error: Exception) -> bool:
-        # A handler that raised says nothing about the connection; closing it would lose the answers of all
-        # other calls, entries of a leader among them.
-        kinds = capnp.KjException.Type
+    def _is_handler_error(self, error: Exception) -> bool:
+        # An exception of a remote handler says nothing about the connection. Closing the connection would
+        # lose the replies to all other calls, such as those to a leader's log entries.
+        types = capnp.KjException.Type
         return (
             self.remote is not None
             and isinstance(error, capnp.KjException)
-            and error.type in (kinds.FAILED, kinds.UNIMPLEMENTED)
+            and error.type in (types.FAILED, types.UNIMPLEMENTED)
         )
 
     async def _connect(self) -> Any:
--- a/src/hyssopway/peer/conversion.py
+++ b/src/hyssopway/peer/conversion.py
@@ -1,4 +1,4 @@
-"""Converts between data classes and capnp messages."""
+"""Converts between data classes and Cap'n Proto messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .replies import ConfirmReply, ProposeReply, WatchReply
 from .schema import SCHEMA
 
-_NO_AGE = -1
+_INFINITE_AGE_MS = -1
 
 
 def vote_request_to_wire(request: VoteRequest) -> Any:
@@ -40,17 +40,17 @@
 
 
 def vote_reply_to_wire(reply: VoteReply) -> Any:
-    """Converts the answer to a vote request."""
+    """Converts the reply to a vote request."""
     return SCHEMA.VoteReply.new_message(term=reply.term, granted=reply.granted)
 
 
 def vote_reply_from_wire(wire: Any) -> VoteReply:
-    """Converts the answer to a vote request."""
+    """Converts the reply to a vote request."""
     return VoteReply(term=wire.term, granted=wire.granted)
 
 
 def append_request_to_wire(request: AppendRequest) -> Any:
-    """Converts entries or a heartbeat."""
+    """Converts an append request or a heartbeat."""
     return SCHEMA.AppendRequest.new_message(
         term=request.term,
         leader=request.leader,
@@ -63,7 +63,7 @@
 
 
 def append_request_from_wire(wire: Any) -> AppendRequest:
-    """Converts entries or a heartbeat."""
+    """Converts an append request or a heartbeat."""
     return AppendRequest(
         term=wire.term,
         leader=str(wire.leader),
@@ -76,21 +76,21 @@
 
 
 def append_reply_to_wire(reply: AppendReply) -> Any:
-    """Converts the answer to entries."""
+    """Converts the reply to an append request."""
     return SCHEMA.AppendReply.new_message(
         term=reply.term, success=reply.success, matchIndex=reply.match_index, member=reply.member
     )
 
 
 def append_reply_from_wire(wire: Any) -> AppendReply:
-    """Converts the answer to entries."""
+    """Converts the reply to an append request."""
     return AppendReply(
         term=wire.term, success=wire.success, match_index=wire.matchIndex, member=str(wire.member)
     )
 
 
 def snapshot_chunk_to_wire(chunk: SnapshotChunk) -> Any:
-    """Converts a part of a snapshot."""
+    """Converts a chunk of a snapshot."""
     return SCHEMA.SnapshotChunk.new_message(
         term=chunk.term,
         leader=chunk.leader,
@@ -104,7 +104,7 @@
 
 
 def snapshot_chunk_from_wire(wire: Any) -> SnapshotChunk:
-    """Converts a part of a snapshot."""
+    """Converts a chunk of a snapshot."""
     return SnapshotChunk(
         term=wire.term,
         leader=str(wire.leader),
@@ -118,44 +118,44 @@
 
 
 def propose_reply_to_wire(reply: ProposeReply) -> Any:
-    """Converts the answer to a command."""
+    """Converts the reply to a proposed command."""
     return SCHEMA.ProposeReply.new_message(
         accepted=reply.accepted, leader=reply.leader, outcome=reply.outcome
     )
 
 
 def propose_reply_from_wire(wire: Any) -> ProposeReply:
-    """Converts the answer to a command."""
+    """Converts the reply to a proposed command."""
     return ProposeReply(accepted=wire.accepted, leader=str(wire.leader), outcome=bytes(wire.outcome))
 
 
 def confirm_reply_to_wire(reply: ConfirmReply) -> Any:
-    """Converts a confirmation."""
+    """Converts the reply to a request for confirmation."""
     return SCHEMA.ConfirmReply.new_message(
         commitIndex=reply.commit_index, confirmedAgeMs=_age_to_wire(reply.confirmed_age_s)
     )
 
 
 def confirm_reply_from_wire(wire: Any) -> ConfirmReply:
-    """Converts a confirmation."""
+    """Converts the reply to a request for confirmation."""
     return ConfirmReply(commit_index=wire.commitIndex, confirmed_age_s=_age_from_wire(wire.confirmedAgeMs))
 
 
 def watch_reply_to_wire(reply: WatchReply) -> Any:
-    """Converts the answer to a watch."""
+    """Converts the reply to a watch."""
     return SCHEMA.WatchReply.new_message(
         firstIndex=reply.first_index,
         entries=list(reply.entries),
         appliedIndex=reply.applied_index,
         confirmedAgeMs=_age_to_wire(reply.confirmed_age_s),
-        # Rounded down: a wait that is reported too long would make the state look fresher than it is.
+        # Rounded down, because an overstated wait would make the state look fresher than it is.
         waitedMs=math.floor(reply.waited_s * 1000),
         snapshotSize=reply.snapshot_size,
     )
 
 
 def watch_reply_from_wire(wire: Any) -> WatchReply:
-    """Converts the answer to a watch."""
+    """Converts the reply to a watch."""
     return WatchReply(
         first_index=wire.firstIndex,
         entries=tuple(bytes(entry) for entry in wire.entries),
@@ -195,7 +195,7 @@
 
 
 def credit_reply_to_wire(reply: CreditReply) -> Any:
-    """Converts credits handed out."""
+    """Converts the reply to a request for credits."""
     return SCHEMA.CreditReply.new_message(
         credits=[credit_to_wire(credit) for credit in reply.credits],
         renewed=list(reply.renewed),
@@ -205,7 +205,7 @@
 
 
 def credit_reply_from_wire(wire: Any) -> CreditReply:
-    """Converts credits handed out."""
+    """Converts the reply to a request for credits."""
     return CreditReply(
         credits=tuple(credit_from_wire(credit) for credit in wire.credits),
         renewed=tuple(wire.renewed),
@@ -241,11 +241,11 @@
 
 
 def _age_to_wire(age_s: float) -> int:
-    return _NO_AGE if math.isinf(age_s) else math.ceil(age_s * 1000)
+    return _INFINITE_AGE_MS if math.isinf(age_s) else math.ceil(age_s * 1000)
 
 
 def _age_from_wire(age_ms: int) -> float:
-    return math.inf if age_ms == _NO_AGE else age_ms / 1000
+    return math.inf if age_ms == _INFINITE_AGE_MS else age_ms / 1000
 
 
 __all__ = [
--- a/src/hyssopway/peer/credits.py
+++ b/src/hyssopway/peer/credits.py
@@ -1,4 +1,4 @@
-"""Slot credits as they travel between entry daemons."""
+"""Messages about slot credits between entry daemons."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Credit:
-    """The right to have one request in progress on an endpoint.
+    """Permission to have one request in progress on an endpoint.
 
     Attributes:
         endpoint: Name of the endpoint.
         address: Base URL of the endpoint.
-        service: Service.
-        environment: Environment.
-        credit_id: Identity of the credit at its home.
-        lease_s: Time for which it is valid, counted by the holder from when it sent the request.
-        vm: VM of the endpoint; empty when it is none of the pools' VMs.
+        service: Service that the endpoint serves.
+        environment: Environment of the service.
+        credit_id: ID of the credit at the endpoint's home.
+        lease_s: Seconds for which it is valid, counted by the holder from when it sent its request.
+        vm: VM of the endpoint; empty when the endpoint runs outside the pools.
     """
 
     endpoint: str
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CreditRequest:
-    """An entry daemon asks the home of endpoints for credits.
+    """Request of an entry daemon for credits of the endpoints of a home.
 
     Attributes:
-        daemon: Daemon that asks.
-        environment: Environment.
-        service: Service.
-        wanted: Credits wanted in addition.
-        renewed: Credits whose lease is to be renewed.
-        returned: Credits given back.
-        waiting: Requests that wait at the daemon for a slot.
-        avoided: Endpoints that the daemon has ejected and wants no credits of.
+        daemon: Name of the requesting daemon.
+        environment: Environment of the service.
+        service: Service to call.
+        wanted: Number of additional credits wanted.
+        renewed: IDs of the credits whose lease is to be renewed.
+        returned: IDs of the credits that are returned.
+        waiting: Number of requests that wait at the daemon for a slot.
+        avoided: Endpoints of which the daemon wants no credits, such as ejected ones.
     """
 
     daemon: str
@@ -55,13 +55,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CreditReply:
-    """Credits handed out by a home.
+    """Credits granted by a home.
 
     Attributes:
         credits: New credits.
-        renewed: Credits whose lease was renewed.
-        waiting: Requests that wait at all daemons that lately asked the home.
-        recalled: Credits to be given back once the request that uses them has ended.
+        renewed: IDs of the credits whose lease was renewed.
+        waiting: Number of requests that wait at all daemons that recently asked this home.
+        recalled: IDs of the credits to return as soon as the request that uses them has ended.
     """
 
     credits: tuple[Credit, ...] = ()
--- a/src/hyssopway/peer/directory.py
+++ b/src/hyssopway/peer/directory.py
@@ -1,4 +1,4 @@
-"""Clients of all other daemons."""
+"""RPC clients of all other daemons."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 class PeerDirectory:
-    """Clients by daemon name; also the transport between members.
+    """Clients by daemon name; also the transport between control members.
 
     Attributes:
-        clients: One client for each other daemon.
+        clients: Client of each other daemon, by name.
     """
 
     __slots__ = ("clients",)
@@ -54,15 +54,15 @@
         return client
 
     async def vote(self, *, daemon: str, request: VoteRequest, timeout_s: float) -> VoteReply:
-        """Asks a member for a vote."""
+        """Requests a vote of a member."""
         return await self.client(daemon).vote(request=request, timeout_s=timeout_s)
 
     async def append(self, *, daemon: str, request: AppendRequest, timeout_s: float) -> AppendReply:
-        """Sends entries or a heartbeat to a member."""
+        """Sends log entries or a heartbeat to a member."""
         return await self.client(daemon).append(request=request, timeout_s=timeout_s)
 
     async def install_snapshot(self, *, daemon: str, chunk: SnapshotChunk, timeout_s: float) -> AppendReply:
-        """Sends a part of a snapshot to a member."""
+        """Sends a chunk of a snapshot to a member."""
         return await self.client(daemon).install_snapshot(chunk=chunk, timeout_s=timeout_s)
 
     def close(self) -> None:
--- a/src/hyssopway/peer/errors.py
+++ b/src/hyssopway/peer/errors.py
@@ -4,7 +4,7 @@
 
 
 class PeerUnreachableError(OSError):
-    """A daemon cannot be reached, refused the connection or did not answer in time."""
+    """A call to a daemon failed, or the daemon is unreachable, refused the connection or did not reply in time."""
 
 
 __all__ = ["PeerUnreachableError"]
--- a/src/hyssopway/peer/handlers.py
+++ b/src/hyssopway/peer/handlers.py
@@ -1,4 +1,4 @@
-"""What a daemon answers to its peers."""
+"""Handlers of the calls between daemons."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 
 
 class PeerHandlers(Protocol):
-    """Calls that a daemon answers; an exception reaches the caller as an unreachable peer."""
+    """Handlers of one daemon; an exception reaches the caller as `PeerUnreachableError`."""
 
     def handle_connection_lost(self, daemon: str) -> None:
-        """Takes in that a connection of another daemon has ended."""
+        """Handles the end of a connection that another daemon opened."""
         ...
 
     async def vote(self, request: VoteRequest) -> VoteReply:
@@ -29,11 +29,11 @@
         ...
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Takes entries of a leader."""
+        """Answers log entries or a heartbeat of a leader."""
         ...
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
-        """Takes a part of a snapshot."""
+        """Answers a chunk of a leader's snapshot."""
         ...
 
     async def propose(self, command: bytes) -> ProposeReply:
@@ -41,27 +41,27 @@
         ...
 
     async def confirm(self, daemon: str) -> ConfirmReply:
-        """Says how fresh the leader's knowledge is."""
+        """Returns the commit index and how recently a quorum confirmed this leader."""
         ...
 
     async def watch(self, *, daemon: str, from_index: int, wait_s: float) -> WatchReply:
-        """Returns entries behind an index, waiting for the first."""
+        """Returns the entries after an index; waits up to `wait_s` for the first one."""
         ...
 
     async def read_snapshot(self, *, offset: int) -> SnapshotPart:
-        """Returns a part of the state."""
+        """Returns a part of a snapshot of the state."""
         ...
 
     async def credits(self, request: CreditRequest) -> CreditReply:
-        """Hands out slot credits of endpoints that announced themselves here."""
+        """Grants slot credits of the endpoints whose home is this daemon."""
         ...
 
     async def held_credits(self, *, daemon: str, endpoint: str) -> list[Credit]:
-        """Returns the credits held here for an endpoint whose home is now the daemon that asks."""
+        """Returns the credits held here for an endpoint whose new home is the calling daemon."""
         ...
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
-        """Takes and returns soft state, such as load and summaries of endpoints."""
+        """Receives and returns in-memory state, such as load and summaries of endpoints."""
         ...
 
 
--- a/src/hyssopway/peer/replies.py
+++ b/src/hyssopway/peer/replies.py
@@ -1,4 +1,4 @@
-"""Answers of one daemon to another."""
+"""Replies to calls between daemons."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProposeReply:
-    """Answer to a proposed command.
+    """Reply to a proposed command.
 
     Attributes:
-        accepted: Whether the daemon leads and answers with an outcome.
-        leader: Daemon that leads as far as known; empty when unknown.
+        accepted: Whether the daemon leads and returns an outcome.
+        leader: Last known leader; empty when unknown.
         outcome: Encoded outcome.
     """
 
@@ -22,11 +22,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfirmReply:
-    """Answer of a leader to a request for confirmation.
+    """Reply of a leader to a request for confirmation.
 
     Attributes:
-        commit_index: Index that covers everything committed up to the confirmed time.
-        confirmed_age_s: Age of the confirmed time when the answer was written; infinite when none.
+        commit_index: Index up to which entries are committed; includes all that were committed before the
+            confirmed time.
+        confirmed_age_s: Age of the confirmed time when the reply was sent; infinite without one.
     """
 
     commit_index: int
@@ -35,15 +36,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class WatchReply:
-    """Answer to a watch.
+    """Reply to a watch.
 
     Attributes:
         first_index: Index of the first entry.
-        entries: Encoded entries; empty for entries that only concern the log.
-        applied_index: Index applied by the daemon that answers.
-        confirmed_age_s: Age of its confirmed time when the answer was written; infinite when none.
-        waited_s: How long it waited before it answered.
-        snapshot_size: Size of the snapshot to read instead of entries; 0 when the entries suffice.
+        entries: Encoded entries; an entry that only concerns the log is empty.
+        applied_index: Last index applied by the replying daemon.
+        confirmed_age_s: Age of its confirmed time when the reply was sent; infinite without one.
+        waited_s: Seconds that it waited before it replied.
+        snapshot_size: Bytes of the snapshot to read instead of entries; 0 when the entries suffice.
     """
 
     first_index: int = 0
@@ -56,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SnapshotPart:
-    """A part of the state of a daemon.
+    """A part of a snapshot of a daemon's state.
 
     Attributes:
-        data: Bytes from the offset asked for.
-        index: Index that the snapshot covers.
-        total: Size of the whole snapshot.
+        data: Bytes from the requested offset on.
+        index: Last index that the snapshot includes.
+        total: Bytes of the whole snapshot.
     """
 
     data: bytes
--- a/src/hyssopway/peer/schema.py
+++ b/src/hyssopway/peer/schema.py
@@ -1,4 +1,4 @@
-"""Loads the capnp schema."""
+"""Loads the Cap'n Proto schema."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/peer/server.py
+++ b/src/hyssopway/peer/server.py
@@ -1,4 +1,4 @@
-"""Serves calls of other daemons over capnp."""
+"""Serves calls of other daemons over Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     """Listens for other daemons; each connection must authenticate first.
 
     Attributes:
-        handlers: What is answered.
-        token: Secret that daemons share.
-        listener: Listening socket while open.
+        handlers: Handlers of the calls.
+        token: Secret that all daemons share.
+        listener: Listening server while open; None before.
     """
 
     __slots__ = ("handlers", "listener", "token")
@@ -37,12 +37,12 @@
         self.listener: Any = None
 
     async def open(self, *, host: str, port: int, tls: ssl.SSLContext | None = None) -> None:
-        """Starts to listen."""
+        """Starts listening."""
         options = {"ssl": tls} if tls else {}
         self.listener = await capnp.AsyncIoStream.create_server(self._serve, host, port, **options)
 
     def close(self) -> None:
-        """Stops to listen."""
+        """Stops listening."""
         if self.listener is not None:
             self.listener.close()
 
@@ -58,7 +58,7 @@
 
 
 class _Gate(SCHEMA.Gate.Server):  # type: ignore[misc]
-    """First interface of a connection; gives access to the others."""
+    """First interface of a connection; returns the others after authentication."""
 
     def __init__(self, *, handlers: PeerHandlers, token: str) -> None:
         super().__init__()
@@ -75,7 +75,7 @@
 
 
 class _PeerInterface(SCHEMA.Peer.Server):  # type: ignore[misc]
-    """Calls of an authenticated daemon."""
+    """Interface for an authenticated daemon."""
 
     def __init__(self, *, handlers: PeerHandlers) -> None:
         super().__init__()
--- a/tests/peer/test_contract.py
+++ b/tests/peer/test_contract.py
@@ -1,4 +1,4 @@
-"""Contract of peer client and server over a real connection, with faults."""
+"""Contract between peer client and server over a real connection, including faults."""
 
 from __future__ import annotations
 
@@ -33,29 +33,29 @@
 )
 
 
-class Handlers:
-    """Records requests; fails or waits when told to."""
+class FakeHandlers:
+    """Records requests; the topic of an exchange makes it fail or wait."""
 
     def __init__(self) -> None:
-        self.seen: list[Any] = []
+        self.requests: list[Any] = []
 
     async def vote(self, request: VoteRequest) -> VoteReply:
-        """Grants."""
-        self.seen.append(request)
+        """Grants the vote."""
+        self.requests.append(request)
         return VoteReply(term=4, granted=True)
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Accepts."""
-        self.seen.append(request)
+        """Accepts the entries."""
+        self.requests.append(request)
         return AppendReply(term=4, success=True, match_index=8, member="b/0")
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
-        """Accepts."""
-        self.seen.append(chunk)
+        """Refuses the chunk."""
+        self.requests.append(chunk)
         return AppendReply(term=4, success=False, match_index=0, member="b/0")
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
-        """Fails, waits or echoes."""
+        """Fails, waits or echoes, depending on the topic."""
         if topic == "fail":
             raise RuntimeError("handler failed")
         if topic == "slow":
@@ -64,11 +64,11 @@
 
 
 @asynccontextmanager
-async def connected(*, token: str = TOKEN, listen: bool = True) -> AsyncIterator[tuple[Any, Handlers]]:
+async def connected(*, token: str = TOKEN, listen: bool = True) -> AsyncIterator[tuple[Any, FakeHandlers]]:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
-    handlers: Any = Handlers()
+    handlers: Any = FakeHandlers()
     async with capnp.kj_loop():
         server = PeerServer(handlers=handlers, token=TOKEN)
         if listen:
@@ -81,12 +81,12 @@
 
 
 async def test_messages_arrive_unchanged():
-    """Guards against a field that the wire format drops."""
+    """Guards against a field that the conversion to the wire format drops."""
     async with connected() as (client, handlers):
         vote = await client.vote(request=VOTE, timeout_s=2)
         append = await client.append(request=APPEND, timeout_s=2)
         chunk = await client.install_snapshot(chunk=CHUNK, timeout_s=2)
-    assert handlers.seen == [VOTE, APPEND, CHUNK]
+    assert handlers.requests == [VOTE, APPEND, CHUNK]
     assert vote == VoteReply(term=4, granted=True)
     assert append == AppendReply(term=4, success=True, match_index=8, member="b/0")
     assert not chunk.success
@@ -97,8 +97,8 @@
     [({"listen": False}, "echo"), ({"token": "wrong"}, "echo"), ({}, "fail"), ({}, "slow")],
     ids=["nobody listens", "wrong token", "handler fails", "too slow"],
 )
-async def test_every_fault_is_an_unreachable_peer(options: dict[str, Any], topic: str):
-    """Guards against an exception that ends the replication or election task of a member."""
+async def test_every_fault_raises_peer_unreachable(options: dict[str, Any], topic: str):
+    """Guards against another exception, which would end the replication or election task of a member."""
     async with connected(**options) as (client, _):
         with pytest.raises(PeerUnreachableError):
             await client.exchange(topic=topic, data=b"1", timeout_s=0.2)
@@ -106,8 +106,8 @@
             assert await client.exchange(topic="echo", data=b"2", timeout_s=2) == b"2"
 
 
-async def test_failed_handler_does_not_break_other_calls():
-    """Guards against one refused call that loses the answers of all others on the connection."""
+async def test_failed_handler_does_not_affect_other_calls():
+    """Guards against one failed call that loses the replies to all others on the connection."""
     async with connected() as (client, _):
         slow = asyncio.create_task(client.exchange(topic="slow", data=b"kept", timeout_s=3))
         await asyncio.sleep(0.1)
