--- a/src/hyssopway/http/__init__.py
+++ b/src/hyssopway/http/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers shared by all HTTP interfaces."""
+"""HTTP listener, middleware and helpers that all HTTP interfaces share."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/http/connection_handler.py
+++ b/src/hyssopway/http/connection_handler.py
@@ -1,4 +1,4 @@
-"""One HTTP connection, with numbered answers to input that never becomes a request."""
+"""HTTP connection that answers malformed input with numbered error codes."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from aiohttp import web
     from aiohttp.web_request import BaseRequest
 
-# A caller that has not sent the head of a request in this time does not keep a connection busy.
+# Frees the connection of a caller that does not complete a request head.
 HEAD_TIMEOUT_S = 10.0
 MAX_LINE_BYTES = 8190
 MAX_FIELD_BYTES = 8190
 MAX_HEADERS = 100
 KEEP_ALIVE_S = 75.0
-# The rest of a refused body is read for this time, so that the caller gets to see the answer.
+# Reads on for this time after a rejected body, so that the caller receives the response.
 LINGER_S = 2.0
 
 
@@ -33,8 +33,9 @@
     """Serves one connection.
 
     Attributes:
-        connections: All connections that are served, this one included.
-        head_timer: Ends the connection when the head of a request does not arrive in time.
+        loop: Event loop of the connection.
+        connections: All open connections, including this one.
+        head_timer: Closes the connection when a request head does not arrive in time.
     """
 
     __slots__ = ("connections", "head_timer", "loop")
@@ -61,13 +62,13 @@
         self.head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Starts to wait for the first request."""
+        """Starts the timer of the first request head."""
         super().connection_made(transport)
         self.connections.add(self)
         self.head_timer = self.loop.call_later(HEAD_TIMEOUT_S, self._time_out_head)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of the connection."""
+        """Passes bytes to the parser and updates the timer of the request head."""
         super().data_received(data)
         if self._is_idle():
             if self.head_timer is None:
@@ -79,12 +80,12 @@
         """Handles a caller that closed its sending side.
 
         Returns:
-            True to keep the sending side of this process open until the request in progress is answered.
+            True to keep this side open for sending until the request in progress has its response.
         """
         super().eof_received()
         if self._is_idle():
             if self._waiter is None and self.head_timer is None:
-                # aiohttp took a whole head and begins its request in the next step of the event loop.
+                # aiohttp parsed a whole head and starts its request in the next iteration of the event loop.
                 self.loop.call_soon(self._handle_eof)
                 return True
             if self.head_timer is not None:
@@ -101,7 +102,7 @@
         return True
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forgets the connection."""
+        """Cancels the timer and removes the connection."""
         self._cancel_timer()
         self.connections.discard(self)
         super().connection_lost(exc)
@@ -113,12 +114,16 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answers input that the HTTP parser refuses."""
+        """Returns the response to input that the HTTP parser rejects.
+
+        Raises:
+            ConnectionError: A response has already been started.
+        """
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer has already begun")
+            raise ConnectionError("the response has already been started")
         code = ResultCode.INTERNAL
         if status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            # aiohttp reports a line that is too long and too many fields by different means.
+            # aiohttp reports too long a line by an exception type and too many headers by a message only.
             too_large = isinstance(exc, LineTooLong) or "Too many headers" in f"{message}{exc}"
             code = ResultCode.HEADER_TOO_LARGE if too_large else ResultCode.MALFORMED_REQUEST
         text = " ".join((message or str(exc) or "the request is not valid HTTP").split())[:300]
@@ -148,7 +153,7 @@
 
 
 def encode_error_response(failure: Failure) -> bytes:
-    """Encodes a failure as a whole HTTP answer that ends the connection."""
+    """Encodes a failure as a complete HTTP response that closes the connection."""
     status = http_status(failure.code)
     body = to_json(
         {
--- a/src/hyssopway/http/credentials.py
+++ b/src/hyssopway/http/credentials.py
@@ -1,4 +1,4 @@
-"""Bearer tokens."""
+"""Bearer tokens of requests."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def bearer_token(request: web.Request) -> str:
-    """Returns the bearer token of a request; empty when there is none."""
+    """Returns the bearer token of a request; empty without one."""
     header = request.headers.get("Authorization", "")
     return header[len(_PREFIX) :].strip() if header.startswith(_PREFIX) else ""
 
 
 def token_matches(request: web.Request, *, token: str) -> bool:
-    """Compares the bearer token with a secret in constant time."""
+    """Tells whether the bearer token equals a secret; compares in constant time."""
     return hmac.compare_digest(bearer_token(request).encode(), token.encode())
 
 
--- a/src/hyssopway/http/handler_shield.py
+++ b/src/hyssopway/http/handler_shield.py
@@ -1,4 +1,4 @@
-"""Lets handlers finish when their client hangs up."""
+"""Keeps handlers running when their client disconnects."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 async def run_shielded(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Cancels only callers' requests on a lost connection; other handlers change state and finish."""
+    """Runs a handler, shielded from the loss of its connection unless it forwards a caller's request.
+
+    Handlers outside `CANCELLABLE_PREFIX` may change state and must finish.
+    """
     if request.path.startswith(CANCELLABLE_PREFIX):
         return await handler(request)
     task = asyncio.ensure_future(handler(request))
--- a/src/hyssopway/http/listener.py
+++ b/src/hyssopway/http/listener.py
@@ -1,4 +1,4 @@
-"""Listens for HTTP connections."""
+"""Listener for HTTP connections."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class HttpListener:
-    """Serves an application on one address.
+    """Serves an application on one address, with a limit on connections.
 
     Attributes:
         runner: Runs the application.
-        max_connections: Most connections at a time.
-        connections: Connections that are served.
+        max_connections: Most connections at a time; further ones are refused with an error response.
+        connections: Open connections that are served.
         tcp_server: Listening server while open; None otherwise.
     """
 
@@ -38,7 +38,7 @@
         self.tcp_server: asyncio.Server | None = None
 
     async def open(self, *, host: str, port: int, tls: ssl.SSLContext | None = None) -> None:
-        """Starts to listen."""
+        """Starts listening."""
         await self.runner.setup()
         server = self.runner.server
         if server is None:
@@ -53,7 +53,7 @@
         self.tcp_server = await loop.create_server(create_protocol, host, port, ssl=tls, backlog=BACKLOG)
 
     async def close(self, *, finish: Callable[[], Awaitable[None]] | None = None) -> None:
-        """Stops to listen and waits for requests in progress.
+        """Stops listening and waits for requests in progress.
 
         Args:
             finish: Waits for requests that may take longer than `shutdown_s`.
--- a/src/hyssopway/http/middleware.py
+++ b/src/hyssopway/http/middleware.py
@@ -1,4 +1,4 @@
-"""Answers every error of the HTTP layer with a numbered failure."""
+"""Middleware that turns errors of the HTTP layer into numbered failures."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
     Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-# These values are kept in agreed state on every daemon.
+# The values of these headers are stored in the replicated state of every daemon, hence the length limit.
 LIMITED_HEADERS = ("Idempotency-Key", "Hyssopway-Operator")
 MAX_ID_CHARACTERS = 256
 
@@ -33,7 +33,7 @@
 
 @web.middleware
 async def error_middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Turns exceptions of handlers and of the router into numbered JSON answers."""
+    """Turns exceptions of handlers and of the router into JSON responses with numbered codes."""
     for name in LIMITED_HEADERS:
         if len(request.headers.get(name, "")) > MAX_ID_CHARACTERS:
             message = f"header {name} is longer than {MAX_ID_CHARACTERS} characters"
--- a/src/hyssopway/http/refused_connection.py
+++ b/src/hyssopway/http/refused_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection beyond the limit."""
+"""HTTP connection over the limit."""
 
 from __future__ import annotations
 
@@ -8,15 +8,19 @@
 
 from .connection_handler import encode_error_response
 
-# Closing at once would reset the connection, and the caller would lose the answer with its unread request.
+# Closing with the request unread would reset the connection, and the caller would lose the response.
 LINGER_S = 1.0
 
 
 class RefusedConnection(asyncio.Protocol):
-    """Answers the first bytes with a refusal and ends.
+    """Answers the first bytes with TOO_MANY_CONNECTIONS; a timer closes the connection.
 
     Attributes:
-        limit: Most connections that are served.
+        loop: Event loop of the connection.
+        limit: Number of connections that are served.
+        answered: Whether the response was sent.
+        transport: Transport while open.
+        timer: Closes the connection after `LINGER_S`.
     """
 
     __slots__ = ("answered", "limit", "loop", "timer", "transport")
@@ -29,13 +33,13 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Waits for a request, so that the answer belongs to one."""
+        """Starts the timer; the response waits for the first bytes, so that it answers a request."""
         if isinstance(transport, asyncio.Transport):
             self.transport = transport
             self.timer = self.loop.call_later(LINGER_S, transport.close)
 
     def data_received(self, data: bytes) -> None:
-        """Refuses the request; what follows is read and dropped."""
+        """Sends the error response once and discards all input."""
         if not self.answered and self.transport is not None:
             self.answered = True
             message = f"this entry VM serves {self.limit} connections, its limit; use another one"
@@ -44,7 +48,7 @@
             )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Cancels the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
--- a/src/hyssopway/http/request_body.py
+++ b/src/hyssopway/http/request_body.py
@@ -17,7 +17,11 @@
 
 
 async def read_json(request: web.Request, adapter: TypeAdapter[T]) -> Result[T, Failure]:
-    """Reads and checks a JSON body; unknown fields are refused."""
+    """Reads and validates a JSON body; rejects unknown fields.
+
+    Returns:
+        The parsed body, or BODY_TOO_LARGE, REQUEST_TOO_SLOW or MALFORMED_REQUEST.
+    """
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
             raw = await request.read()
@@ -29,11 +33,11 @@
     try:
         return Ok(adapter.validate_json(raw, extra="forbid"))
     except ValidationError as error:
-        problems = "; ".join(
+        details = "; ".join(
             f"{'.'.join(str(part) for part in detail['loc']) or 'body'}: {detail['msg']}"
             for detail in error.errors()
         )
-        return Error(Failure(code=ResultCode.MALFORMED_REQUEST, message=problems))
+        return Error(Failure(code=ResultCode.MALFORMED_REQUEST, message=details))
 
 
 __all__ = ["read_json"]
--- a/src/hyssopway/http/responses.py
+++ b/src/hyssopway/http/responses.py
@@ -1,4 +1,4 @@
-"""JSON answers."""
+"""JSON responses."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def json_response(data: Any, *, status: int = 200) -> web.Response:
-    """Answers with JSON; data classes and enums are converted."""
+    """Returns a JSON response; data classes and enums are converted, infinities become null."""
     return web.Response(
         body=to_json(data, inf_nan_mode="null"), status=status, content_type="application/json"
     )
 
 
 def failure_response(failure: Failure) -> web.Response:
-    """Answers with a numbered failure."""
+    """Returns a JSON response with the numbered code of a failure."""
     headers = {}
     if failure.retry_after_s is not None:
         headers["Retry-After"] = str(max(1, math.ceil(failure.retry_after_s)))
--- a/tests/http/test_bad_input.py
+++ b/tests/http/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input on the wire."""
+"""Malformed input on HTTP connections, and the limit on connections."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 NUMBERS = TypeAdapter(list[int])
 
 
-async def take(request: web.Request) -> web.Response:
+async def echo_numbers(request: web.Request) -> web.Response:
     result = await read_json(request, NUMBERS)
     return failure_response(result.error) if result.is_error() else json_response(result.ok)
 
@@ -38,7 +38,7 @@
     monkeypatch.setattr(connection_handler, "HEAD_TIMEOUT_S", 0.3)
     monkeypatch.setattr(request_body, "BODY_TIMEOUT_S", 0.3)
     app = web.Application(client_max_size=2000, middlewares=[error_middleware])
-    app.router.add_post("/take", take)
+    app.router.add_post("/take", echo_numbers)
     app.router.add_get("/fail", fail)
     listener = HttpListener(app=app, shutdown_s=1)
     await listener.open(host=HOST, port=0)
@@ -95,23 +95,23 @@
         ([b"POST /take HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"], False, 400, 101),
     ],
 )
-async def test_bad_input_gets_numbered_error_and_harms_no_one(port, parts, end, status, code):
-    """Guards against HTML errors, silence, and an entry VM that stops serving others."""
-    found, body = await exchange(port, *parts, end=end)
-    assert (found, body["code"]) == (status, code), body
+async def test_bad_input_gets_numbered_error_and_affects_no_other_caller(port, parts, end, status, code):
+    """Guards against HTML errors, missing responses, and an entry VM that stops serving others."""
+    actual, body = await exchange(port, *parts, end=end)
+    assert (actual, body["code"]) == (status, code), body
     assert "secret" not in json.dumps(body)
     assert (await exchange(port, post(b"[1, 2]")))[1] == [1, 2]
 
 
-async def test_half_closed_caller_gets_its_answer(port):
-    """Guards against dropping the answer to a caller that closed its sending side after the request."""
+async def test_half_closed_caller_gets_response(port):
+    """Guards against dropping the response to a caller that closed its sending side after the request."""
     assert (await exchange(port, post(b"[3]"), end=True)) == (200, [3])
 
 
 async def test_connections_beyond_the_limit_are_refused_and_later_served():
-    """Guards against a process that runs out of descriptors, and against a count that only grows."""
+    """Guards against running out of file descriptors, and against a count of connections that only grows."""
     app = web.Application(middlewares=[error_middleware])
-    app.router.add_post("/take", take)
+    app.router.add_post("/take", echo_numbers)
     listener = HttpListener(app=app, shutdown_s=1, max_connections=2)
     await listener.open(host=HOST, port=0)
     port = listener.tcp_server.sockets[0].getsockname()[1]
@@ -130,8 +130,8 @@
     await listener.close()
 
 
-async def test_idle_connection_is_no_slow_request(port):
-    """Guards against ending a kept connection between two requests."""
+async def test_idle_connection_is_not_timed_out(port):
+    """Guards against closing a keep-alive connection between two requests."""
     reader, writer = await asyncio.open_connection(HOST, port)
     for _ in range(2):
         writer.write(post(b"[1]"))
