--- a/src/hyssopway/endpoint/__init__.py
+++ b/src/hyssopway/endpoint/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints that announced themselves to this daemon."""
+"""Endpoints registered with this daemon, and their health."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/endpoint/announcement.py
+++ b/src/hyssopway/endpoint/announcement.py
@@ -1,4 +1,4 @@
-"""What an endpoint says of itself."""
+"""Message by which an endpoint registers."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Announcement:
-    """An endpoint announces or renews itself.
+    """Registers an endpoint or renews its lease.
 
     Attributes:
         service: Service that it serves.
         address: Base URL for requests.
-        environment: Environment that it belongs to.
-        vm: VM that it runs on; empty when it is none of the pools' VMs.
-        slots: Requests that it handles at a time.
-        connections: Connections that it accepts.
+        environment: Environment of the service.
+        vm: VM that it runs on; empty when it runs outside the pools.
+        slots: Number of requests that it handles at a time.
+        connections: Number of connections that it accepts.
     """
 
     service: str
--- a/src/hyssopway/endpoint/endpoint.py
+++ b/src/hyssopway/endpoint/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint with its lease."""
+"""A registered endpoint and its lease."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class Endpoint:
-    """An announced endpoint.
+    """A registered endpoint.
 
     Attributes:
         name: Name of the endpoint.
-        announcement: What it said last.
-        expires_at: Local time at which its lease ends.
-        announced_at: Local time of its first announcement here.
-        blocked_until: Local time before which no new credits are handed out, because daemons that did
-            not answer may still hold some of an earlier home.
+        announcement: Its most recent announcement.
+        expires_at: Local time at which its lease expires.
+        announced_at: Local time of the first announcement of its present registration.
+        blocked_until: Local time before which it gets no new credits, because a daemon that did not reply
+            may still hold credits of its previous home.
     """
 
     name: str
--- a/src/hyssopway/endpoint/health.py
+++ b/src/hyssopway/endpoint/health.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail or are slow."""
+"""Outlier detection: ejects endpoints that fail or are slow."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 if TYPE_CHECKING:
     from hyssopway.clock import Clock
 
-FAILURES_TO_EJECT = 3
+CONSECUTIVE_FAILURES_TO_EJECT = 3
 BASE_EJECTION_S = 1.0
 MAX_EJECTION_S = 15.0
-# Never more than this part of a service's endpoints is ejected: failures of most of them have a common
-# cause, and without endpoints nothing is served at all.
+# Limits the ejected fraction of a service's endpoints: when most of them fail, the cause is a common one,
+# and without any endpoint no request is served at all.
 MAX_EJECTED_FRACTION = 0.5
 PROBES_TO_RECOVER = 3
 SLOW_FACTOR = 5.0
 MIN_SLOW_MEAN_S = 0.05
-MIN_ANSWERS = 10
+MIN_RESPONSES = 10
 EWMA_WEIGHT = 0.2
 
 
 @dataclass(slots=True, kw_only=True)
 class EndpointStats:
-    """What one daemon saw of an endpoint.
+    """Statistics of one daemon about an endpoint.
 
     Attributes:
-        service: Environment and service.
-        failures: Failures in a row.
-        ejections: Ejections since it last recovered.
-        ejected_until: Local time until which it gets nothing.
-        probes_left: Successes that are still needed after an ejection.
-        answers: Answers since the last ejection.
-        mean_s: Mean time of its answers.
+        service: Names of the environment and the service.
+        failures: Number of consecutive failures.
+        ejections: Number of ejections since the last recovery.
+        ejected_until: Local time until which it gets no requests.
+        probes_left: Successful requests still needed for recovery after an ejection.
+        answers: Number of complete responses since the last ejection.
+        mean_s: Exponentially weighted mean response time in seconds.
         seen_at: Local time of the last request.
     """
 
@@ -50,9 +50,13 @@
 
 
 class EndpointHealth:
-    """Outcomes of the requests that one daemon sent.
+    """Ejects endpoints by the outcomes of the requests that this daemon sent.
+
+    An ejected endpoint gets no requests, then one at a time until enough of them succeed. Each ejection
+    without a recovery in between lasts twice as long as the one before, up to a limit.
 
     Attributes:
+        clock: Returns monotonic seconds.
         stats: Statistics by endpoint.
     """
 
@@ -63,7 +67,7 @@
         self.stats: dict[str, EndpointStats] = {}
 
     def concurrency_limit(self, endpoint: str) -> int | None:
-        """Returns the most requests in progress that an endpoint may get; None without a limit."""
+        """Returns how many requests an endpoint may have in progress; None without a limit."""
         stats = self.stats.get(endpoint)
         if stats is None:
             return None
@@ -72,7 +76,7 @@
         return 1 if stats.probes_left else None
 
     def ejected_endpoints(self, service: tuple[str, str]) -> tuple[str, ...]:
-        """Returns the endpoints of a service that get nothing now."""
+        """Returns the endpoints of a service that are ejected now."""
         now = self.clock()
         return tuple(
             name
@@ -81,7 +85,7 @@
         )
 
     def record_success(self, endpoint: str, *, service: tuple[str, str], seconds: float) -> None:
-        """Records a whole answer."""
+        """Records a complete response and its duration."""
         stats = self._stats_of(endpoint, service=service)
         stats.failures = 0
         stats.answers += 1
@@ -90,18 +94,18 @@
             stats.probes_left -= 1
             if not stats.probes_left:
                 stats.ejections = 0
-        if stats.answers >= MIN_ANSWERS and self._is_slow(stats):
+        if stats.answers >= MIN_RESPONSES and self._is_slow(stats):
             self._eject(endpoint, stats=stats, reason=f"mean answer time {stats.mean_s:.3f} s")
 
     def record_failure(self, endpoint: str, *, service: tuple[str, str]) -> None:
         """Records a failure that the endpoint caused."""
         stats = self._stats_of(endpoint, service=service)
         stats.failures += 1
-        if stats.probes_left or stats.failures >= FAILURES_TO_EJECT:
+        if stats.probes_left or stats.failures >= CONSECUTIVE_FAILURES_TO_EJECT:
             self._eject(endpoint, stats=stats, reason=f"{stats.failures} failures in a row")
 
     def remove_idle(self, *, idle_s: float) -> None:
-        """Drops records of endpoints that got no request for a while."""
+        """Removes the statistics of endpoints that had no request for `idle_s`."""
         oldest = self.clock() - idle_s
         for name in [name for name, stats in self.stats.items() if stats.seen_at < oldest]:
             del self.stats[name]
@@ -117,16 +121,16 @@
         others = [
             other.mean_s
             for other in self.stats.values()
-            if other.service == stats.service and other is not stats and other.answers >= MIN_ANSWERS
+            if other.service == stats.service and other is not stats and other.answers >= MIN_RESPONSES
         ]
         return bool(others) and stats.mean_s > max(MIN_SLOW_MEAN_S, SLOW_FACTOR * statistics.median(others))
 
     def _eject(self, endpoint: str, *, stats: EndpointStats, reason: str) -> None:
-        peers = sum(other.service == stats.service for other in self.stats.values())
+        endpoint_count = sum(other.service == stats.service for other in self.stats.values())
         now = self.clock()
         if stats.ejected_until > now:
             return
-        if len(self.ejected_endpoints(stats.service)) + 1 > peers * MAX_EJECTED_FRACTION:
+        if len(self.ejected_endpoints(stats.service)) + 1 > endpoint_count * MAX_EJECTED_FRACTION:
             return
         ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**stats.ejections)
         stats.ejections += 1
--- a/src/hyssopway/key/__init__.py
+++ b/src/hyssopway/key/__init__.py
@@ -1,4 +1,4 @@
-"""Keys of teams."""
+"""API keys of teams."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/key/checking.py
+++ b/src/hyssopway/key/checking.py
@@ -1,4 +1,4 @@
-"""Checks the key that came with a request."""
+"""Validation of the key of a request."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 
 def check_key(*, text: str, replica: Replica, freshness: Freshness) -> Result[Key, Failure]:
-    """Returns the key record of a valid key.
+    """Looks up and validates a key.
 
     Returns:
-        The record, or KEY_MISSING, KEY_INVALID, or KEY_UNCONFIRMED when this daemon cannot know whether
-        the key was withdrawn.
+        The record of the key, KEY_MISSING, KEY_INVALID, or KEY_UNCONFIRMED when the replica is too old to
+        tell whether the key was withdrawn.
     """
     if not text:
         message = "this needs a team's key; send it as `Authorization: Bearer KEY`"
         return Error(Failure(code=ResultCode.KEY_MISSING, message=message))
     if not freshness.is_valid:
-        message = "keys cannot be confirmed here at the moment; try another entry VM or later"
+        message = "keys cannot be confirmed here at the moment; use another entry VM or retry later"
         return Error(Failure(code=ResultCode.KEY_UNCONFIRMED, message=message, retry_after_s=1.0))
     parts = split_key(text)
     key = replica.state.tables.keys.get(parts[0]) if parts else None
--- a/src/hyssopway/key/format.py
+++ b/src/hyssopway/key/format.py
@@ -1,4 +1,4 @@
-"""Text form of keys: ``hk_<id>_<secret>``."""
+"""Text format of keys: ``hk_<id>_<secret>``."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def make_key() -> tuple[str, str]:
-    """Returns the id and the full text of a new random key."""
+    """Generates a random key; returns its ID and its full text."""
     key_id = secrets.token_hex(ID_BYTES)
     return key_id, f"{PREFIX}_{key_id}_{secrets.token_hex(SECRET_BYTES)}"
 
 
 def split_key(text: str) -> tuple[str, str] | None:
-    """Returns id and secret of a key, or None when the text is not a key."""
+    """Returns the ID and the secret of a key, or None when the text is not a key."""
     parts = text.split("_")
     if len(parts) != len((PREFIX, "id", "secret")) or parts[0] != PREFIX or not all(parts):
         return None
@@ -25,7 +25,7 @@
 
 
 def hash_secret(secret: str) -> str:
-    """Hashes a secret; the secrets are random, so a plain hash suffices."""
+    """Hashes a secret; secrets are random, so a fast unsalted hash suffices."""
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
--- a/src/hyssopway/metrics/__init__.py
+++ b/src/hyssopway/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of one process."""
+"""Counters and latency histograms of one process."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/metrics/exposition.py
+++ b/src/hyssopway/metrics/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as text, one value a line."""
+"""Text exposition of metrics, one value per line."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 def format_metrics(metrics: Metrics, *, gauges: dict[str, float]) -> str:
-    """Formats counters, percentiles of latencies in milliseconds, and present values.
+    """Formats counters, latency percentiles in milliseconds, and gauges.
 
     Args:
         metrics: Counters and latencies of the process.
-        gauges: Present values by name.
+        gauges: Current values by name.
     """
     summary = metrics.summarise()
     lines = [f"{PREFIX}{name}_total {value}" for name, value in summary["counters"].items()]
     for name, values in summary["latencies_ms"].items():
-        for part, value in values.items():
-            if part == "count":
+        for statistic, value in values.items():
+            if statistic == "count":
                 lines.append(f"{PREFIX}{name}_ms_count {value}")
             else:
-                lines.append(f'{PREFIX}{name}_ms{{quantile="{part}"}} {value:g}')
+                lines.append(f'{PREFIX}{name}_ms{{quantile="{statistic}"}} {value:g}')
     lines += [f"{PREFIX}{name} {value:g}" for name, value in sorted(gauges.items())]
     return "\n".join(lines) + "\n"
 
--- a/src/hyssopway/metrics/metrics.py
+++ b/src/hyssopway/metrics/metrics.py
@@ -1,4 +1,4 @@
-"""Latencies in ``hdrhistogram`` and counters of one process."""
+"""Counters and latency histograms (``hdrhistogram``) of one process."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class Metrics:
-    """Histograms and counters by name.
+    """Latency histograms and counters by name.
 
     Attributes:
-        histograms: Latencies in microseconds.
-        counters: Counts since the start.
+        histograms: Latency histograms in microseconds.
+        counters: Counts since the start of the process.
     """
 
     __slots__ = ("counters", "histograms")
@@ -28,29 +28,29 @@
         self.counters: Counter[str] = Counter()
 
     def record(self, name: str, *, seconds: float) -> None:
-        """Records one latency."""
+        """Records one latency, clamped to the range of the histogram."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = self.histograms[name] = _new_histogram()
         histogram.record_value(max(LOWEST_US, min(HIGHEST_US, round(seconds * 1e6))))
 
     def count(self, name: str, *, amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Increments a counter."""
         self.counters[name] += amount
 
     def encode(self) -> dict[str, Any]:
-        """Encodes everything so that processes can be merged."""
+        """Encodes all metrics for `merge` in another process."""
         encoded = {name: histogram.encode().decode() for name, histogram in self.histograms.items()}
         return {"histograms": encoded, "counters": dict(self.counters)}
 
     def merge(self, encoded: dict[str, Any]) -> None:
-        """Adds the metrics of another process."""
+        """Adds the encoded metrics of another process."""
         for name, text in encoded["histograms"].items():
             self.histograms.setdefault(name, _new_histogram()).decode_and_add(text)
         self.counters.update(encoded["counters"])
 
     def summarise(self) -> dict[str, Any]:
-        """Returns counts, percentiles in milliseconds and counters."""
+        """Returns counters, and counts and percentiles (milliseconds) of all latencies."""
         latencies = {name: _summarise(histogram) for name, histogram in sorted(self.histograms.items())}
         return {"latencies_ms": latencies, "counters": dict(sorted(self.counters.items()))}
 
--- a/tests/endpoint/test_health.py
+++ b/tests/endpoint/test_health.py
@@ -1,4 +1,4 @@
-"""Ejection of endpoints."""
+"""Ejection of failing and slow endpoints."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 SERVICE = ("production", "plan")
 
 
-def _make(names: str, *, now: list[float]) -> EndpointHealth:
+def _make_health(names: str, *, now: list[float]) -> EndpointHealth:
     health = EndpointHealth(clock=lambda: now[0])
     for name in names:
         for _ in range(10):
@@ -16,9 +16,9 @@
 
 
 def test_failing_endpoint_is_ejected_probed_and_recovers():
-    """Guards against full load on an endpoint that has failed a moment ago."""
+    """Guards against full load on an endpoint that failed recently."""
     now = [0.0]
-    health = _make("abcd", now=now)
+    health = _make_health("abcd", now=now)
     for _ in range(3):
         health.record_failure("a", service=SERVICE)
     assert health.concurrency_limit("a") == 0
@@ -27,7 +27,7 @@
     health.record_failure("a", service=SERVICE)
     assert health.concurrency_limit("a") == 0
     now[0] += 1.1
-    assert health.concurrency_limit("a") == 0  # the second ejection is longer
+    assert health.concurrency_limit("a") == 0  # a repeated ejection lasts longer
     now[0] += 1.0
     for _ in range(3):
         health.record_success("a", service=SERVICE, seconds=0.01)
@@ -35,16 +35,16 @@
 
 
 def test_slow_endpoint_is_ejected():
-    """Guards against an endpoint that answers, but far slower than its peers."""
-    health = _make("abcd", now=[0.0])
+    """Guards against an endpoint that responds far slower than the others of its service."""
+    health = _make_health("abcd", now=[0.0])
     for _ in range(30):
         health.record_success("a", service=SERVICE, seconds=0.5)
     assert health.ejected_endpoints(SERVICE) == ("a",)
 
 
-def test_never_all_endpoints_are_ejected():
-    """Guards against an outage made by the ejection itself when all fail for one cause."""
-    health = _make("abcd", now=[0.0])
+def test_at_most_half_of_endpoints_are_ejected():
+    """Guards against an outage that the ejection itself causes when all endpoints fail for one reason."""
+    health = _make_health("abcd", now=[0.0])
     for name in "abcd" * 5:
         health.record_failure(name, service=SERVICE)
     assert len(health.ejected_endpoints(SERVICE)) == 2
--- a/tests/metrics/test_exposition.py
+++ b/tests/metrics/test_exposition.py
@@ -1,12 +1,12 @@
-"""Metrics as text."""
+"""Text exposition of metrics."""
 
 from __future__ import annotations
 
 from hyssopway.metrics import Metrics, format_metrics
 
 
-def test_page_holds_counters_latencies_and_gauges():
-    """Guards against a value that is kept and not shown."""
+def test_text_contains_counters_latencies_and_gauges():
+    """Guards against a recorded value that is missing from the text."""
     metrics = Metrics()
     metrics.count("requests_200", amount=3)
     metrics.record("request", seconds=0.25)
