--- a/src/hyssopway/document/__init__.py
+++ b/src/hyssopway/document/__init__.py
@@ -1,4 +1,4 @@
-"""Environment documents: what operators write, try and promote."""
+"""Environment documents, which operators write, run as a trial and promote to production."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/document/budget.py
+++ b/src/hyssopway/document/budget.py
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Budget:
-    """How many VMs may be down at once, planned and unplanned together.
+    """Limits on VMs that are down at the same time, planned and unplanned together.
 
     Attributes:
-        max_down: Most VMs down in all.
+        max_down: Most VMs down in total.
         max_down_per_rack: Most VMs down in one rack.
-        max_down_per_zone: Most VMs down in one availability zone, except while the zone is withdrawn.
+        max_down_per_zone: Most VMs down in one availability zone; not applied while the zone is withdrawn.
     """
 
     max_down: Annotated[int, Field(ge=0)] = 1
--- a/src/hyssopway/document/buffer_policy.py
+++ b/src/hyssopway/document/buffer_policy.py
@@ -1,4 +1,4 @@
-"""What the spare capacity must cover."""
+"""Failures that the spare capacity must cover."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BufferPolicy:
-    """Losses that must be survived without refusing the mean demand.
+    """Failures after which the remaining capacity must still cover the mean demand.
 
     Attributes:
-        survive_zone: The largest availability zone.
-        survive_rack: The largest rack.
-        lend: Whether spare VMs carry work that can be taken back.
+        survive_zone: Whether to cover the loss of the largest availability zone.
+        survive_rack: Whether to cover the loss of the largest rack.
+        lend: Whether VMs of the required spare capacity may be lent too; their work can be taken back.
     """
 
     survive_zone: bool = False
--- a/src/hyssopway/document/environment_document.py
+++ b/src/hyssopway/document/environment_document.py
@@ -1,4 +1,4 @@
-"""The document that operators write for an environment."""
+"""The document that configures an environment."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EnvironmentDocument:
-    """Zones, pools, services, teams and rules of one environment.
+    """Zones, pools, services, teams and policies of one environment.
 
     Attributes:
         name: Name of the deployment.
         zones: Availability zones.
         pools: Pools of VMs.
-        services: Services behind the entry VMs.
-        teams: Teams that may submit work.
-        jobs: Rules for jobs.
-        maintenance: Rules for maintenance waves.
-        buffer: What the spare capacity must cover.
+        services: Services that callers reach through the entry VMs.
+        teams: Teams that may submit jobs and keyed requests.
+        jobs: Policy for jobs.
+        maintenance: Policy for maintenance waves.
+        buffer: Failures that the spare capacity must cover.
     """
 
     name: str
@@ -40,15 +40,15 @@
     buffer: BufferPolicy = field(default_factory=BufferPolicy)
 
     def service(self, *, name: str) -> Service | None:
-        """Returns a service by name."""
+        """Returns a service by name, or None."""
         return next((service for service in self.services if service.name == name), None)
 
     def team(self, *, name: str) -> Team | None:
-        """Returns a team by name."""
+        """Returns a team by name, or None."""
         return next((team for team in self.teams if team.name == name), None)
 
     def pool(self, *, name: str) -> Pool | None:
-        """Returns a pool by name."""
+        """Returns a pool by name, or None."""
         return next((pool for pool in self.pools if pool.name == name), None)
 
 
--- a/src/hyssopway/document/job_policy.py
+++ b/src/hyssopway/document/job_policy.py
@@ -1,4 +1,4 @@
-"""Rules for jobs."""
+"""Policy for jobs."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class JobPolicy:
-    """Rules that hold for all jobs of an environment.
+    """Policy for all jobs of an environment.
 
     Attributes:
-        cut_off_run_s: How long a zone that is cut off renews task leases.
-        max_tries: Runs of one job before it ends as failed.
-        backoff_s: Wait before the second run; doubles with each further run.
-        estimate_margin: Part added to the estimated use of a kind of job.
+        cut_off_run_s: Seconds for which a partitioned zone keeps renewing task leases.
+        max_tries: Number of runs after which a job ends as failed.
+        backoff_s: Seconds to wait before the second run; doubles with each further run.
+        estimate_margin: Fraction that is added to the estimated usage of a kind of job.
     """
 
     cut_off_run_s: Annotated[float, Field(ge=0, le=86_400)] = 120.0
--- a/src/hyssopway/document/maintenance_policy.py
+++ b/src/hyssopway/document/maintenance_policy.py
@@ -1,4 +1,4 @@
-"""Rules for maintenance waves."""
+"""Policy for maintenance waves."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MaintenancePolicy:
-    """Rules for maintaining every VM.
+    """Policy for the maintenance of all VMs of an environment.
 
     Attributes:
-        period_s: Time in which every VM is maintained once; seven weeks by default.
-        canaries: VMs maintained first, one after another.
-        drain_s: How long a drain may take before an operator is asked.
-        return_s: How long a VM may take to return before it counts as lost.
-        max_lost: Lost VMs at which a wave pauses.
+        period_s: Seconds within which every VM is maintained once; seven weeks by default.
+        canaries: Number of VMs that are maintained first, one at a time.
+        drain_s: Seconds that a drain may take before an operator must decide.
+        return_s: Seconds that a VM may take to return before it counts as lost.
+        max_lost: Number of lost VMs at which a wave pauses.
     """
 
     period_s: Annotated[float, Field(gt=0, allow_inf_nan=False)] = 7 * 7 * 86_400.0
--- a/src/hyssopway/document/pool.py
+++ b/src/hyssopway/document/pool.py
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Pool:
-    """A named set of VMs that carries one service's endpoints and its jobs.
+    """A named set of VMs that run the endpoints of one service, and jobs.
 
     Attributes:
         name: Name of the pool.
-        spare: Whether this pool lends its VMs to others.
+        spare: Whether this is the spare pool, which lends its VMs to other pools.
         budget: Availability budget of its VMs.
     """
 
--- a/src/hyssopway/document/problem.py
+++ b/src/hyssopway/document/problem.py
@@ -1,4 +1,4 @@
-"""One problem found in a settings file or document."""
+"""A validation problem of a settings file or a document."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Problem:
-    """Where a file is wrong and what is allowed there.
+    """A location in a file, the invalid value and the allowed values.
 
     Attributes:
         file: Path of the file.
         path: Path inside the file, such as ``services.2.slots``.
-        found: What stands there.
-        allowed: What may stand there.
+        found: Description of the invalid value.
+        allowed: Description of the allowed values.
     """
 
     file: str
@@ -22,7 +22,7 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Renders the problem on one line."""
+        """Formats the problem as one line."""
         return f"{self.file}: {self.path or '(top)'}: found {self.found}; allowed: {self.allowed}"
 
 
--- a/src/hyssopway/document/resources.py
+++ b/src/hyssopway/document/resources.py
@@ -1,4 +1,4 @@
-"""An amount of cores, memory and accelerators."""
+"""Amounts of cores, memory and accelerators."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Resources:
-    """What a worker has or a task needs.
+    """Capacity of a worker or demand of a task.
 
     Attributes:
-        cores: Processor cores.
+        cores: CPU cores.
         memory_gb: Memory in gigabytes.
-        accelerators: Whole accelerators.
+        accelerators: Number of accelerators.
     """
 
     cores: Amount = 0.0
@@ -25,7 +25,7 @@
     accelerators: Annotated[int, Field(ge=0)] = 0
 
     def __add__(self, other: Resources) -> Resources:
-        """Adds two amounts."""
+        """Adds two amounts field by field."""
         return Resources(
             cores=self.cores + other.cores,
             memory_gb=self.memory_gb + other.memory_gb,
@@ -33,7 +33,7 @@
         )
 
     def __sub__(self, other: Resources) -> Resources:
-        """Subtracts an amount; fields do not go below zero."""
+        """Subtracts an amount field by field, with zero as the lower limit."""
         return Resources(
             cores=max(0.0, self.cores - other.cores),
             memory_gb=max(0.0, self.memory_gb - other.memory_gb),
@@ -41,10 +41,10 @@
         )
 
     def fits_in(self, other: Resources) -> bool:
-        """Tells whether this amount is available in another."""
+        """Tells whether no field of this amount exceeds that of another."""
         return (
-            self.cores <= other.cores + ROUNDING
-            and self.memory_gb <= other.memory_gb + ROUNDING
+            self.cores <= other.cores + ROUNDING_TOLERANCE
+            and self.memory_gb <= other.memory_gb + ROUNDING_TOLERANCE
             and self.accelerators <= other.accelerators
         )
 
@@ -60,7 +60,7 @@
         return max(fractions)
 
 
-# Sums of many fractional amounts differ from the exact value in the last digits.
-ROUNDING = 1e-6
+# Sums of many fractional amounts have rounding errors in the last digits.
+ROUNDING_TOLERANCE = 1e-6
 
 __all__ = ["Resources"]
--- a/src/hyssopway/document/service.py
+++ b/src/hyssopway/document/service.py
@@ -12,7 +12,7 @@
 
 
 class QueueAccess(StrEnum):
-    """Who may send to a service's queue."""
+    """Who may send requests to a service."""
 
     OPEN = "open"
     KEYED = "keyed"
@@ -20,22 +20,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service:
-    """Limits and rules of one service.
+    """Limits and policies of one service.
 
     Attributes:
         name: Name used in request paths.
-        pool: Pool that its endpoints run in.
-        access: Whether requests need a team's key.
-        idempotent: Whether a request may run more than once.
-        slots: Requests that one endpoint handles at a time.
-        connections: Connections that one endpoint accepts.
-        timeout_s: Deadline of a request that names none.
-        longest_timeout_s: Longest deadline that a request may name; a drain waits for it when an entry is
-            silent.
-        queue_limit: Most requests waiting in one entry process.
+        pool: Name of the pool that its endpoints run in.
+        access: Whether requests must carry a team's key.
+        idempotent: Whether a request may safely run more than once.
+        slots: Number of requests that one endpoint handles at a time.
+        connections: Number of connections that one endpoint accepts.
+        timeout_s: Timeout of a request that sets none.
+        longest_timeout_s: Longest timeout that a request may set. A drain waits that long when an entry daemon
+            does not reply.
+        queue_limit: Most requests that may wait in one entry daemon.
         may_borrow: Whether idle VMs of the spare pool may serve it.
-        outcome_kept_s: How long the outcome of a non-idempotent request is returned to resends.
-        budget: Availability budget of the VMs of its pool, besides the budget of the pool itself.
+        outcome_kept_s: Seconds for which the outcome of a non-idempotent request is kept for retries.
+        budget: Availability budget of the VMs of its pool, in addition to the pool's own budget.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
     @property
     def deadline_limit_s(self) -> float:
-        """Longest deadline that any request of the service has."""
+        """Longest timeout that a request of the service can have."""
         return max(self.timeout_s, self.longest_timeout_s)
 
 
--- a/src/hyssopway/document/strict_loader.py
+++ b/src/hyssopway/document/strict_loader.py
@@ -1,4 +1,4 @@
-"""YAML loader that refuses repeated fields."""
+"""YAML loader that rejects duplicate fields."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class StrictLoader(yaml.SafeLoader):
-    """Loads plain data; a field that stands twice in a mapping is an error instead of the last one."""
+    """Safe loader that raises an error on a duplicate field, where PyYAML would keep the last value."""
 
     def construct_mapping(self, node: yaml.MappingNode, deep: bool = False) -> dict[Any, Any]:
-        """Builds a mapping.
+        """Constructs a mapping.
 
         Raises:
-            yaml.constructor.ConstructorError: A field stands twice.
+            yaml.constructor.ConstructorError: A field occurs twice.
         """
-        seen = set()
+        names = set()
         for key, _ in node.value:
             name = key.value if isinstance(key, yaml.ScalarNode) else None
-            if name is not None and name != "<<" and name in seen:
+            if name is not None and name != "<<" and name in names:
                 raise yaml.constructor.ConstructorError(None, None, f"field {name!r} again", key.start_mark)
-            seen.add(name)
+            names.add(name)
         return super().construct_mapping(node, deep=deep)
 
 
--- a/src/hyssopway/document/team.py
+++ b/src/hyssopway/document/team.py
@@ -16,10 +16,10 @@
 
     Attributes:
         name: Name of the team.
-        organisation: Organisation that it belongs to.
-        share: Weight of the team when the fleet is full.
-        limit: Most that its tasks may hold at any moment over all zones.
-        max_running: Most tasks running at any moment over all zones.
+        organisation: Organisation that the team belongs to.
+        share: Weight of the team when demand exceeds the capacity of the fleet.
+        limit: Upper limit of the resources that its running tasks hold over all zones.
+        max_running: Most tasks that may run at the same time over all zones.
     """
 
     name: str
--- a/src/hyssopway/document/validation.py
+++ b/src/hyssopway/document/validation.py
@@ -1,4 +1,4 @@
-"""Parses and checks environment documents."""
+"""Parsing and validation of environment documents."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def parse_document(*, text: str, file: str) -> Result[EnvironmentDocument, list[Problem]]:
-    """Parses a document and reports every problem at once."""
+    """Parses and validates a document; reports all problems at once."""
     match parse_yaml(text=text, file=file):
         case Result(tag="error", error=problems):
             return Error(problems)
@@ -35,7 +35,7 @@
 
 
 def check_document(*, document: EnvironmentDocument, file: str) -> list[Problem]:
-    """Checks references inside a document."""
+    """Finds duplicate names, invalid references and conflicting fields of a document."""
     return [
         *_find_duplicates(document=document, file=file),
         *_find_invalid_references(document=document, file=file),
@@ -43,18 +43,18 @@
 
 
 def digest_document(*, text: str) -> str:
-    """Returns the digest that identifies a document through trial and promotion."""
+    """Returns the SHA-256 digest that identifies a document from trial to promotion."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def _find_duplicates(*, document: EnvironmentDocument, file: str) -> Iterator[Problem]:
-    groups: dict[str, Iterable[str]] = {
+    names_by_path: dict[str, Iterable[str]] = {
         "zones": document.zones,
         "pools": [pool.name for pool in document.pools],
         "services": [service.name for service in document.services],
         "teams": [team.name for team in document.teams],
     }
-    for path, group in groups.items():
+    for path, group in names_by_path.items():
         names = list(group)
         for position, name in enumerate(names):
             if name in names[:position]:
--- a/src/hyssopway/document/yaml_reading.py
+++ b/src/hyssopway/document/yaml_reading.py
@@ -1,4 +1,4 @@
-"""Reads YAML and checks it against data classes."""
+"""Reading of YAML and validation against data classes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def parse_yaml(*, text: str, file: str) -> Result[Any, list[Problem]]:
-    """Parses YAML text; `file` names its origin in problems."""
+    """Parses YAML text; problems name `file` as its origin."""
     try:
         return Ok(yaml.load(text, Loader=StrictLoader))  # noqa: S506  a subclass of the safe loader
     except (yaml.YAMLError, ValueError, RecursionError) as error:
@@ -39,7 +39,7 @@
 
 
 def validate(*, adapter: TypeAdapter[T], data: Any, file: str) -> Result[T, list[Problem]]:
-    """Checks parsed YAML against a data class; unknown fields are problems."""
+    """Validates parsed YAML against a data class; unknown fields are problems."""
     try:
         return Ok(adapter.validate_python(data, extra="forbid"))
     except ValidationError as error:
@@ -50,12 +50,12 @@
     path = ".".join(str(part) for part in detail["loc"])
     found = "nothing" if detail["type"].startswith("missing") else repr(detail["input"])
     if path.endswith("_token") and found != "nothing":
-        # Problems go to logs and terminals.
+        # Problems are logged and printed, so they must not contain secrets.
         found = f"a secret of {len(str(detail['input']))} characters"
     if len(found) > MAX_FOUND_CHARACTERS:
         found = found[:MAX_FOUND_CHARACTERS] + "..."
-    unknown = detail["type"] in ("unexpected_keyword_argument", "extra_forbidden")
-    allowed = "no field of this name" if unknown else detail["msg"]
+    is_unknown_field = detail["type"] in ("unexpected_keyword_argument", "extra_forbidden")
+    allowed = "no field of this name" if is_unknown_field else detail["msg"]
     return Problem(file=file, path=path, found=found, allowed=allowed)
 
 
--- a/src/hyssopway/settings/__init__.py
+++ b/src/hyssopway/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Daemon settings read from YAML."""
+"""Daemon settings and TLS contexts."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/settings/daemon_settings.py
+++ b/src/hyssopway/settings/daemon_settings.py
@@ -19,25 +19,25 @@
 
 @dataclass(slots=True, kw_only=True)
 class DaemonSettings:
-    """What one daemon knows before it meets any other process.
+    """Settings that a daemon reads from its settings file at startup.
 
     Attributes:
         name: Name of this daemon; one of `peers`.
-        peers: All daemons of the deployment, this one included.
-        operator_token: Secret that operators present.
-        fleet_token: Secret that endpoints and workers present.
-        peer_token: Secret that daemons present to one another.
-        data_dir: Folder for agreed state; only on VMs with a disk.
-        platform_url: Base URL of the platform's API.
-        log_level: Lowest level written to the log.
-        log_json: One JSON object for each log event.
-        dump_dir: Folder for dumps on SIGUSR1.
-        drain_health_s: Seconds that a stopping daemon still serves while its health is 503.
-        shutdown_s: Seconds that requests in progress then get.
-        snapshot_entries: Log entries between two snapshots.
-        max_body_bytes: Largest request body accepted.
-        max_connections: Most HTTP connections at a time; more are refused.
-        tls: Certificates; plain TCP without.
+        peers: Addresses of all daemons of the deployment, including this one.
+        operator_token: Bearer token of operators.
+        fleet_token: Bearer token of endpoints and workers.
+        peer_token: Secret by which daemons authenticate to one another.
+        data_dir: Directory for the replicated state; required on control members.
+        platform_url: Base URL of the platform's API; None without a platform.
+        log_level: Lowest level of the events that are logged.
+        log_json: Whether to log one JSON object per event.
+        dump_dir: Directory for the state dumps that SIGUSR1 requests.
+        drain_health_s: Seconds that a stopping daemon keeps serving while its health check returns 503.
+        shutdown_s: Seconds that requests in progress then have to finish.
+        snapshot_entries: Number of log entries between two snapshots.
+        max_body_bytes: Largest accepted request body.
+        max_connections: Most HTTP connections at a time; further ones are refused.
+        tls: Certificate files; None for plain TCP.
     """
 
     name: str
@@ -68,11 +68,15 @@
         return self.own_address.zone
 
     def peer(self, *, name: str) -> PeerAddress:
-        """Returns the address of a daemon by name."""
+        """Returns the address of a daemon by name.
+
+        Raises:
+            StopIteration: There is no daemon of this name.
+        """
         return next(peer for peer in self.peers if peer.name == name)
 
     def other_peers(self) -> Iterator[PeerAddress]:
-        """Yields all other daemons."""
+        """Returns the addresses of all other daemons."""
         return (peer for peer in self.peers if peer.name != self.name)
 
 
--- a/src/hyssopway/settings/loading.py
+++ b/src/hyssopway/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads daemon settings."""
+"""Loading and validation of daemon settings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def load_settings(path: Path) -> Result[DaemonSettings, list[Problem]]:
-    """Reads and checks a settings file; reports every problem at once."""
+    """Reads and validates a settings file; reports all problems at once."""
     match read_yaml(path):
         case Result(tag="error", error=problems):
             return Error(problems)
@@ -46,10 +46,10 @@
         for name in sorted({name for name in names if names.count(name) > 1})
     ]
     addresses = [(peer.host, port) for peer in settings.peers for port in (peer.http_port, peer.peer_port)]
-    shared = sorted({address for address in addresses if addresses.count(address) > 1})
+    duplicates = sorted({address for address in addresses if addresses.count(address) > 1})
     problems += [
         Problem(file=file, path="peers", found=f"{host}:{port} twice", allowed="each address once")
-        for host, port in shared
+        for host, port in duplicates
     ]
     if settings.name in names and settings.own_address.member and settings.data_dir is None:
         problems.append(
--- a/src/hyssopway/settings/peer_address.py
+++ b/src/hyssopway/settings/peer_address.py
@@ -1,4 +1,4 @@
-"""Address of one daemon of the deployment."""
+"""Network address of one daemon of the deployment."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerAddress:
-    """Where one daemon listens.
+    """Address and ports on which one daemon listens.
 
     Attributes:
         name: Name of the daemon, unique in the deployment.
         zone: Availability zone of its VM.
-        host: IP number.
-        http_port: Port for callers, operators, endpoints and workers.
-        peer_port: Port for other daemons.
-        member: Whether the VM has a disk and carries a control member.
+        host: IP address.
+        http_port: HTTP port for callers, operators, endpoints and workers.
+        peer_port: RPC port for other daemons.
+        member: Whether the daemon is a control member; its VM must have a disk.
     """
 
     name: str
--- a/src/hyssopway/settings/tls_context.py
+++ b/src/hyssopway/settings/tls_context.py
@@ -1,4 +1,4 @@
-"""TLS contexts from the files that settings name."""
+"""TLS contexts for the certificate files of the settings."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 def http_context(tls: TlsSettings) -> ssl.SSLContext:
-    """Returns the context of the HTTP interface; clients present tokens and keys, not certificates."""
+    """Returns the server context for HTTP; clients authenticate by token or key, not by certificate."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
     context.load_cert_chain(tls.certificate, tls.private_key)
     return context
 
 
 def peer_server_context(tls: TlsSettings) -> ssl.SSLContext:
-    """Returns the context that accepts other daemons; their certificates must be signed by the authority."""
+    """Returns the server context for other daemons, whose certificates the authority must have signed."""
     context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH, cafile=tls.authority)
     context.load_cert_chain(tls.certificate, tls.private_key)
     context.verify_mode = ssl.CERT_REQUIRED
@@ -25,7 +25,7 @@
 
 
 def peer_client_context(tls: TlsSettings) -> ssl.SSLContext:
-    """Returns the context that calls other daemons; their certificates must name their IP number."""
+    """Returns the client context for calls to other daemons, whose certificates must name their IP address."""
     context = ssl.create_default_context(ssl.Purpose.SERVER_AUTH, cafile=tls.authority)
     context.load_cert_chain(tls.certificate, tls.private_key)
     return context
--- a/src/hyssopway/settings/tls_settings.py
+++ b/src/hyssopway/settings/tls_settings.py
@@ -1,4 +1,4 @@
-"""Certificates for HTTP and for connections between daemons."""
+"""Certificate files for HTTP and for connections between daemons."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
     Attributes:
         certificate: Certificate chain of this daemon.
-        private_key: Its private key.
-        authority: Certificates that peers must be signed by.
+        private_key: Private key of the certificate.
+        authority: CA certificates that verify the certificates of other daemons.
     """
 
     certificate: str
--- a/tests/document/test_bad_documents.py
+++ b/tests/document/test_bad_documents.py
@@ -1,4 +1,4 @@
-"""Documents with problems."""
+"""Validation of environment documents."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from hyssopway.document import parse_document
 from hyssopway_standins.fleet import EXAMPLES
 
-GOOD = yaml.safe_load((EXAMPLES / "pantry" / "document.yaml").read_text())
+VALID_DOCUMENT = yaml.safe_load((EXAMPLES / "pantry" / "document.yaml").read_text())
 ABSENT = object()
 
 
-def change(*edits: tuple[str, object]) -> str:
-    """Returns the example document with values replaced by path."""
-    data = copy.deepcopy(GOOD)
+def edit_document(*edits: tuple[str, object]) -> str:
+    """Returns the example document as YAML with the values at the given paths replaced."""
+    data = copy.deepcopy(VALID_DOCUMENT)
     for path, value in edits:
         *parents, last = [int(part) if part.isdecimal() else part for part in path.split(".")]
-        place = data
+        parent = data
         for part in parents:
-            place = place[part]
+            parent = parent[part]
         if value is ABSENT:
-            del place[last]
+            del parent[last]
         else:
-            place[last] = value
+            parent[last] = value
     return yaml.safe_dump(data)
 
 
@@ -60,9 +60,9 @@
 
 
 @pytest.mark.parametrize(("edits", "paths"), CASES)
-def test_every_problem_is_named_at_once(edits, paths):
-    """Guards against a document that needs one check for each of its errors."""
-    result = parse_document(text=change(*edits), file="document.yaml")
+def test_all_problems_are_reported_at_once(edits, paths):
+    """Guards against a document that takes one check per error to correct."""
+    result = parse_document(text=edit_document(*edits), file="document.yaml")
     assert result.is_error()
     assert set(paths) <= {problem.path for problem in result.error}
     assert all(
@@ -73,13 +73,13 @@
 @pytest.mark.parametrize(
     "text", ["", "3", "- 1", "a: [", "a: b: c", "!!python/object:os.system {}", "\x00", "a: 1\na: 2"]
 )
-def test_text_that_is_no_document_is_refused(text):
-    """Guards against an exception, or a half-read document, on text that is no mapping."""
+def test_text_without_document_is_refused(text):
+    """Guards against an exception, or a partly read document, on text that is not a document."""
     assert parse_document(text=text, file="document.yaml").is_error()
 
 
-def test_repeated_field_is_a_problem():
-    """Guards against YAML that keeps the last of two fields silently."""
+def test_duplicate_field_is_a_problem():
+    """Guards against silently keeping the last of two equal fields."""
     text = (EXAMPLES / "pantry" / "document.yaml").read_text() + "\nname: other\n"
     result = parse_document(text=text, file="document.yaml")
     assert result.is_error()
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("deployment", ["pantry", "association"])
-def test_examples_have_no_problems(deployment):
-    """Guards against examples that the product refuses."""
+def test_examples_are_valid(deployment):
+    """Guards against example documents that a daemon refuses."""
     text = (EXAMPLES / deployment / "document.yaml").read_text()
     assert parse_document(text=text, file="document.yaml").is_ok()
--- a/tests/settings/test_bad_settings.py
+++ b/tests/settings/test_bad_settings.py
@@ -1,4 +1,4 @@
-"""Settings with problems."""
+"""Validation of daemon settings."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from hyssopway.settings import load_settings
 from hyssopway_standins.fleet import EXAMPLES
 
-FILES = sorted(EXAMPLES.glob("*/settings/*.yaml"))
-GOOD = yaml.safe_load((EXAMPLES / "pantry" / "settings" / "nashua-1.yaml").read_text())
+EXAMPLE_FILES = sorted(EXAMPLES.glob("*/settings/*.yaml"))
+VALID_SETTINGS = yaml.safe_load((EXAMPLES / "pantry" / "settings" / "nashua-1.yaml").read_text())
 TLS = {"certificate": "absent.pem", "private_key": "absent.key", "authority": "absent.pem"}
 
 
@@ -37,9 +37,9 @@
         ({"peers.1.name": "nashua-1"}, ["peers"]),
     ],
 )
-def test_every_problem_is_named_at_once(changes, paths, tmp_path):
-    """Guards against settings that need one start for each of their errors."""
-    data = copy.deepcopy(GOOD)
+def test_all_problems_are_reported_at_once(changes, paths, tmp_path):
+    """Guards against settings that take one start of the daemon per error to correct."""
+    data = copy.deepcopy(VALID_SETTINGS)
     for path, value in changes.items():
         match path.split("."):
             case [name]:
@@ -55,14 +55,14 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"3", b"a: [", b"\xff\xfe\x00", b"name: \x00"])
-def test_content_that_is_no_settings_is_refused(content, tmp_path):
-    """Guards against an exception at the start of a daemon."""
+def test_file_without_settings_is_refused(content, tmp_path):
+    """Guards against an exception when a daemon starts."""
     file = tmp_path / "settings.yaml"
     file.write_bytes(content)
     assert load_settings(file).is_error()
 
 
-@pytest.mark.parametrize("file", FILES, ids=lambda file: file.stem)
-def test_examples_have_no_problems(file):
-    """Guards against examples that the product refuses."""
+@pytest.mark.parametrize("file", EXAMPLE_FILES, ids=lambda file: file.stem)
+def test_examples_are_valid(file):
+    """Guards against example files that a daemon refuses."""
     assert load_settings(file).is_ok()
