--- a/src/hyssopway/platform/__init__.py
+++ b/src/hyssopway/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the platform's API."""
+"""Client of the platform's HTTP API."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/platform/action.py
+++ b/src/hyssopway/platform/action.py
@@ -1,4 +1,4 @@
-"""What the platform can do with a VM."""
+"""Operations of the platform on a VM."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PlatformAction(StrEnum):
-    """Last segment of the path of an operation."""
+    """Operation on a VM; the value is the last segment of its request path."""
 
     DRAIN = "drain"
     REBOOT = "reboot"
--- a/src/hyssopway/platform/client.py
+++ b/src/hyssopway/platform/client.py
@@ -1,4 +1,4 @@
-"""Calls the platform's API."""
+"""HTTP client of the platform's API."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 class PlatformClient:
-    """Client of the platform; every operation has an id so that a repeat does nothing twice.
+    """Client of the platform. Each operation carries an ID, which makes its retries idempotent.
 
     Attributes:
         url: Base URL of the platform.
         session: HTTP session.
-        call_timeout_s: Deadline of one call.
-        poll_s: Seconds between two looks at a VM.
+        call_timeout_s: Timeout of one call in seconds.
+        poll_s: Seconds between two polls of a VM.
     """
 
     __slots__ = ("call_timeout_s", "poll_s", "session", "url")
@@ -53,10 +53,10 @@
 
     @staticmethod
     def open(*, url: str, call_timeout_s: float = CALL_TIMEOUT_S, poll_s: float = POLL_S) -> PlatformClient:
-        """Opens a client with a session of its own.
+        """Opens a client with its own session.
 
-        Sessions towards endpoints trace each request in a context that the calls here do not have, and
-        send no content type.
+        The sessions for endpoints are unsuitable: their request tracing expects a context that calls to
+        the platform lack, and they send no content type.
         """
         return PlatformClient(
             url=url, session=aiohttp.ClientSession(), call_timeout_s=call_timeout_s, poll_s=poll_s
@@ -67,7 +67,7 @@
         await self.session.close()
 
     async def list_vms(self) -> Result[list[PlatformVm], Failure]:
-        """Reads all VMs."""
+        """Lists all VMs."""
         return await self._call("GET", "/vms", adapter=_VMS)
 
     async def read_vm(self, *, vm: str) -> Result[PlatformVm, Failure]:
@@ -77,26 +77,26 @@
     async def start(
         self, *, vm: str, action: PlatformAction, operation_id: str
     ) -> Result[PlatformVm, Failure]:
-        """Asks for an operation once; its answer is not proof that the operation took effect."""
+        """Requests an operation once; a successful response does not prove that it took effect."""
         body = {"operation_id": operation_id}
         return await self._call("POST", f"/vms/{vm}/{action}", adapter=_VM, body=body)
 
     async def complete(
         self, *, vm: str, action: PlatformAction, operation_id: str, timeout_s: float
     ) -> Result[PlatformVm, Failure]:
-        """Asks for an operation until the platform lists it as completed.
+        """Requests an operation until the platform lists it as completed.
 
-        Only a later reading counts, because platforms answer "done" before it is true. A repeat carries
-        the same operation id.
+        Only a later read of the VM counts, because platforms may report success before the operation took
+        effect. Retries carry the same operation ID.
 
         Returns:
-            The VM with the operation completed, PLATFORM_REFUSED, or the last failure at the deadline.
+            The VM after the operation completed, PLATFORM_REFUSED, or at the timeout the last failure.
         """
-        last = _uncertain(f"{action} of VM {vm} is not shown as completed")
+        last = _uncertain(f"{action} of VM {vm} is not listed as completed")
         try:
             async with asyncio.timeout(timeout_s):
                 while True:
-                    result = await self._try_once(vm=vm, action=action, operation_id=operation_id)
+                    result = await self._attempt(vm=vm, action=action, operation_id=operation_id)
                     if result.is_ok() or result.error.code is ResultCode.PLATFORM_REFUSED:
                         return result
                     last = result.error
@@ -104,19 +104,19 @@
         except TimeoutError:
             return Error(last)
 
-    async def _try_once(
+    async def _attempt(
         self, *, vm: str, action: PlatformAction, operation_id: str
     ) -> Result[PlatformVm, Failure]:
-        seen = await self.read_vm(vm=vm)
-        if seen.is_ok() and operation_id in seen.ok.operations:
-            return seen
+        current = await self.read_vm(vm=vm)
+        if current.is_ok() and operation_id in current.ok.operations:
+            return current
         started = await self.start(vm=vm, action=action, operation_id=operation_id)
         if started.is_error():
             return started
-        seen = await self.read_vm(vm=vm)
-        if seen.is_ok() and operation_id not in seen.ok.operations:
-            return Error(_uncertain(f"{action} of VM {vm} was answered and is not shown as completed"))
-        return seen
+        current = await self.read_vm(vm=vm)
+        if current.is_ok() and operation_id not in current.ok.operations:
+            return Error(_uncertain(f"{action} of VM {vm} was accepted but is not listed as completed"))
+        return current
 
     async def _call(
         self, method: str, path: str, *, adapter: TypeAdapter[T], body: object = None
@@ -132,22 +132,22 @@
         timeout = aiohttp.ClientTimeout(total=self.call_timeout_s)
         url = f"{self.url}{path}"
         try:
-            async with self.session.request(method, url, json=body, timeout=timeout) as answer:
-                data = await answer.read()
+            async with self.session.request(method, url, json=body, timeout=timeout) as response:
+                data = await response.read()
         except aiohttp.ClientConnectorError as error:
-            message = f"the platform cannot be reached: {error}"
+            message = f"the platform is unreachable: {error}"
             return Error(Failure(code=ResultCode.PLATFORM_UNREACHABLE, message=message))
         except (aiohttp.ClientError, TimeoutError) as error:
-            return Error(_uncertain(f"no answer from the platform: {error!r}"))
-        if 400 <= answer.status < 500:
-            message = f"the platform refused {method} {path} with HTTP {answer.status}"
+            return Error(_uncertain(f"no response from the platform: {error!r}"))
+        if 400 <= response.status < 500:
+            message = f"the platform refused {method} {path} with HTTP {response.status}"
             return Error(Failure(code=ResultCode.PLATFORM_REFUSED, message=message))
-        if answer.status >= 500:
-            return Error(_uncertain(f"the platform answered HTTP {answer.status}"))
+        if response.status >= 500:
+            return Error(_uncertain(f"the platform responded with HTTP {response.status}"))
         try:
             return Ok(adapter.validate_json(data))
         except ValidationError as error:
-            return Error(_uncertain(f"the platform's answer cannot be read: {error.error_count()} problems"))
+            return Error(_uncertain(f"the platform's response is invalid: {error.error_count()} problems"))
 
 
 def _uncertain(message: str) -> Failure:
--- a/src/hyssopway/platform/vm.py
+++ b/src/hyssopway/platform/vm.py
@@ -1,4 +1,4 @@
-"""A VM as the platform reports it."""
+"""Platform's view of a VM."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PlatformVm:
-    """What the platform says of a VM.
+    """A VM as the platform reports it.
 
     Attributes:
         name: Name of the VM.
-        state: State.
-        healthy: The platform's own opinion; the VM counts as back only when its worker syncs.
-        operations: Ids of the operations that the platform completed on it, latest last.
+        state: State at the platform.
+        healthy: Health that the platform reports. It is not relied on: a VM has returned only when its worker
+            syncs.
+        operations: IDs of the operations that the platform completed on it, oldest first.
     """
 
     name: str
--- a/tests/platform/test_platform_client.py
+++ b/tests/platform/test_platform_client.py
@@ -1,4 +1,4 @@
-"""Contract between the platform client and a platform that fails."""
+"""Contract between the platform client and a faulty platform."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={"vm-1": PlatformVmTruth(), "vm-2": PlatformVmTruth()})
-    await prepared.start()
-    yield prepared
-    await prepared.stop()
+    stand_in = PlatformStandIn(vms={"vm-1": PlatformVmTruth(), "vm-2": PlatformVmTruth()})
+    await stand_in.start()
+    yield stand_in
+    await stand_in.stop()
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
     await opened.close()
 
 
-# Faults of one operation, how often it took effect, and how often it was asked for.
+# Faults of one operation, how often it takes effect, and how often it is requested.
 CASES = {
     "no fault": ([], 1, 1),
     "says done and is not": ([PlatformFault.SAYS_DONE] * 2, 1, 3),
@@ -37,8 +37,8 @@
 
 @pytest.mark.parametrize("action", list(PlatformAction))
 @pytest.mark.parametrize("case", CASES)
-async def test_operation_is_completed_under_one_id(platform, client, action, case):
-    """Guards against belief in a false "done" and against a second reboot after a lost answer."""
+async def test_operation_completes_under_one_id(platform, client, action, case):
+    """Guards against trusting a false success and against a second reboot after a lost response."""
     faults, effects, posts = CASES[case]
     platform.faults["vm-1"] = list(faults)
     result = await client.complete(vm="vm-1", action=action, operation_id="op-1", timeout_s=5.0)
@@ -46,8 +46,8 @@
     assert result.is_ok()
     assert truth.state is result.ok.state
     assert (truth.done, truth.posts) == ({"op-1": effects}, posts)
-    again = await client.complete(vm="vm-1", action=action, operation_id="op-1", timeout_s=5.0)
-    assert again.is_ok()
+    repeated = await client.complete(vm="vm-1", action=action, operation_id="op-1", timeout_s=5.0)
+    assert repeated.is_ok()
     assert (truth.done, truth.posts) == ({"op-1": effects}, posts)
 
 
@@ -59,8 +59,8 @@
         ("vm-1", [PlatformFault.BREAKS] * 500, ResultCode.PLATFORM_UNCERTAIN),
     ],
 )
-async def test_operation_that_is_never_shown_fails(platform, client, vm, faults, code):
-    """Guards against a reboot that counts as made because the platform said so."""
+async def test_operation_never_listed_as_completed_fails(platform, client, vm, faults, code):
+    """Guards against a reboot that counts as completed because the platform's response said so."""
     platform.faults[vm] = faults
     result = await client.complete(vm=vm, action=PlatformAction.REBOOT, operation_id="op-1", timeout_s=0.3)
     assert result.error.code is code
@@ -68,16 +68,16 @@
 
 
 async def test_unreachable_platform_is_reported_as_not_run(session):
-    """Guards against an operator who is told that an operation may have run when it cannot have."""
+    """Guards against reporting that an operation may have run although it was never sent."""
     client = PlatformClient(url="http://127.0.0.1:1", session=session, poll_s=0.01)
     result = await client.start(vm="vm-1", action=PlatformAction.DRAIN, operation_id="op-1")
     assert (result.error.code, result.error.work) == (ResultCode.PLATFORM_UNREACHABLE, "not_run")
 
 
 async def test_platform_reports_broken_vm_as_healthy(platform, client):
-    """Shows why health at the platform does not end a maintenance: the VM fails everything."""
+    """Shows why the platform's health report does not end a maintenance: the VM may fail every request."""
     platform.faults["vm-1"] = [PlatformFault.FALSELY_HEALTHY]
     await client.complete(vm="vm-1", action=PlatformAction.RETURN, operation_id="op-1", timeout_s=5.0)
-    shown = {vm.name: (vm.healthy, vm.state) for vm in (await client.list_vms()).ok}
-    assert shown["vm-1"] == (True, PlatformState.SERVING)
+    reported = {vm.name: (vm.healthy, vm.state) for vm in (await client.list_vms()).ok}
+    assert reported["vm-1"] == (True, PlatformState.SERVING)
     assert not platform.vms["vm-1"].works
