--- a/src/hyssopway/endpoint/health.py
+++ b/src/hyssopway/endpoint/health.py
@@ -95,7 +95,7 @@
             if not stats.probes_left:
                 stats.ejections = 0
         if stats.answers >= MIN_RESPONSES and self._is_slow(stats):
-            self._eject(endpoint, stats=stats, reason=f"mean answer time {stats.mean_s:.3f} s")
+            self._eject(endpoint, stats=stats, reason=f"mean response time {stats.mean_s:.3f} s")
 
     def record_failure(self, endpoint: str, *, service: tuple[str, str]) -> None:
         """Records a failure that the endpoint caused."""
--- a/src/hyssopway/http/handler_shield.py
+++ b/src/hyssopway/http/handler_shield.py
@@ -18,7 +18,7 @@
 async def run_shielded(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Runs a handler, shielded from the loss of its connection unless it forwards a caller's request.
+    """Runs a handler to its end even if the connection is lost, except for forwarded requests of callers.
 
     Handlers outside `CANCELLABLE_PREFIX` may change state and must finish.
     """
--- a/src/hyssopway/peer/client.py
+++ b/src/hyssopway/peer/client.py
@@ -85,7 +85,7 @@
         self.last_reply_at = 0.0
 
     async def vote(self, *, request: VoteRequest, timeout_s: float) -> VoteReply:
-        """Asks for a vote."""
+        """Requests a vote."""
         wire = conversion.vote_request_to_wire(request)
         response = await self._call(lambda remote: remote.vote(wire), timeout_s=timeout_s)
         return conversion.vote_reply_from_wire(response.reply)
@@ -162,7 +162,7 @@
             # is slow.
             if monotonic_s() - self.last_reply_at > timeout_s:
                 self.close()
-            raise PeerUnreachableError(f"{self.daemon} did not answer in {timeout_s:.2f} s") from error
+            raise PeerUnreachableError(f"{self.daemon} did not reply within {timeout_s:.2f} s") from error
         except (OSError, capnp.KjException) as error:
             reason = str(error).splitlines()[0] if str(error) else type(error).__name__
             if not self._is_handler_error(error):
--- a/src/hyssopway/replica/freshness.py
+++ b/src/hyssopway/replica/freshness.py
@@ -10,8 +10,7 @@
 if TYPE_CHECKING:
     from hyssopway.clock import Clock
 
-# A withdrawn key or zone must take effect within 5 s even in a partition; 2 s of them are left for the
-# confirmations to arrive.
+# A withdrawn key or zone must take effect within 5 s even in a partition; the other 2 s are for propagation.
 AUTHORITY_TTL_S = 3.0
 
 
--- a/tests/replica/test_following.py
+++ b/tests/replica/test_following.py
@@ -48,16 +48,16 @@
         self.freshness.confirm(at=time.monotonic())
 
     async def watch(self, *, from_index: int, wait_s: float, timeout_s: float) -> Any:
-        """Asks for entries."""
+        """Returns entries, or fails when unreachable."""
         self.watch_calls += 1
         if not self.reachable:
-            raise PeerUnreachableError("partition")
+            raise PeerUnreachableError("cut")
         reply = await self.calls.watch(daemon="f", from_index=from_index, wait_s=wait_s)
         await asyncio.sleep(self.delay_s)
         return reply
 
     async def read_snapshot(self, *, offset: int, timeout_s: float) -> Any:
-        """Asks for a part of the state."""
+        """Returns a part of the snapshot."""
         await asyncio.sleep(0)
         return await self.calls.read_snapshot(offset=offset)
 
@@ -163,16 +163,16 @@
     ahead.add_entries(2500)
     lagging.add_entries(2200)
     replica, freshness = Replica(), Freshness(clock=time.monotonic)
-    seen: list[int] = []
+    indexes: list[int] = []
     task = follow(replica, freshness, a=ahead, b=lagging)
     await wait_for_index(replica, 2500)
     ahead.reachable = False
     for _ in range(20):
-        seen.append(replica.applied_index)
+        indexes.append(replica.applied_index)
         await asyncio.sleep(0.05)
     task.cancel()
     replica.restore_snapshot(lagging.replica.encode_snapshot())
-    assert {*seen, replica.applied_index} == {2500}
+    assert {*indexes, replica.applied_index} == {2500}
 
 
 @pytest.mark.parametrize("delay_s", [0.0, 0.2, 0.4])
