--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -95,7 +95,7 @@
             freshness=self.freshness,
             peers=self.peers,
             find_leader=lambda: member.leader_daemon,
-            own_confirmed_at=member.quorum_acked_at,
+            quorum_acked_at=member.quorum_acked_at,
             own_name=self.settings.name,
         )
 
@@ -131,14 +131,14 @@
         return Proposer(
             member=self.member,
             replica=self.replica,
-            agreed_clock=self.agreed_clock,
+            cluster_clock=self.agreed_clock,
             wall_ms=wall_ms,
         )
 
 
 def nearest_first(settings: DaemonSettings) -> list[str]:
     """Returns the other daemons, those of the own zone first."""
-    others = sorted(settings.others(), key=lambda peer: (peer.zone != settings.zone, peer.name))
+    others = sorted(settings.other_peers(), key=lambda peer: (peer.zone != settings.zone, peer.name))
     return [peer.name for peer in others]
 
 
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -97,7 +97,7 @@
         self.exchanges: dict[str, Callable[[Any], Any]] = {}
         self.parts = SnapshotAssembler()
 
-    def note_connection_lost(self, daemon: str) -> None:
+    def handle_connection_lost(self, daemon: str) -> None:
         """Doubts the leader when its connection ends: its process may have ended with it."""
         if self.member is not None and daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
@@ -143,7 +143,7 @@
         """Returns entries behind an index, waiting for the first."""
         started = self.freshness.clock()
         self.contacts[daemon] = started
-        await self.replica.wait_beyond(from_index, timeout_s=wait_s)
+        await self.replica.wait_applied_past(from_index, timeout_s=wait_s)
         waited_s = self.freshness.clock() - started
         # The answer confirms the watcher up to now, not up to its question.
         self.contacts[daemon] = self.freshness.clock()
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -70,7 +70,7 @@
             own_name=settings.name,
             ledger=self.ledger,
             peers=group.peers,
-            others={peer.name: peer.zone == settings.zone for peer in settings.others()},
+            others={peer.name: peer.zone == settings.zone for peer in settings.other_peers()},
             clock=clock,
         )
         self.router = Router(homes=self.homes, health=EndpointHealth(clock=clock), clock=clock)
@@ -80,9 +80,9 @@
             router=self.router,
             peers=group.peers,
             others=nearest_first(settings),
-            near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
+            near=frozenset(peer.name for peer in settings.other_peers() if peer.zone == settings.zone),
         )
-        self.registry.arrived = self.collector.begin
+        self.registry.on_new_endpoint = self.collector.begin
 
     def open(self) -> None:
         """Opens the clients, which need a running loop, and builds the gateway."""
@@ -113,7 +113,7 @@
     async def expire(self) -> None:
         """Ends leases of endpoints and credits for as long as the daemon runs."""
         while True:
-            self.registry.expire()
+            self.registry.remove_expired()
             self.ledger.expire()
             await asyncio.sleep(EXPIRE_S)
 
--- a/src/hyssopway/http/finishing.py
+++ b/src/hyssopway/http/handler_shield.py
@@ -1,4 +1,4 @@
-"""Lets handlers finish when their client hangs up."""
+"""Keeps handlers running when their client disconnects."""
 
 from __future__ import annotations
 
@@ -10,16 +10,19 @@
 
     from aiohttp import web
 
-CANCELLED_PREFIX = "/call/"
+CANCELLABLE_PREFIX = "/call/"
 
 _tasks: set[asyncio.Task[web.StreamResponse]] = set()
 
 
-async def run_handler(
+async def run_shielded(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Cancels only callers' requests on a lost connection; other handlers change state and finish."""
-    if request.path.startswith(CANCELLED_PREFIX):
+    """Runs a handler to its end even if the connection is lost, except for forwarded requests of callers.
+
+    Handlers outside `CANCELLABLE_PREFIX` may change state and must finish.
+    """
+    if request.path.startswith(CANCELLABLE_PREFIX):
         return await handler(request)
     task = asyncio.ensure_future(handler(request))
     _tasks.add(task)
@@ -27,4 +30,4 @@
     return await asyncio.shield(task)
 
 
-__all__ = ["run_handler"]
+__all__ = ["run_shielded"]
--- a/src/hyssopway/node/control_handlers.py
+++ b/src/hyssopway/node/control_handlers.py
@@ -52,7 +52,7 @@
         self.exchange_handlers = exchange_handlers
         self.assembler = SnapshotAssembler()
 
-    def note_connection_lost(self, daemon: str) -> None:
+    def handle_connection_lost(self, daemon: str) -> None:
         """Suspects the leader when its connection is lost, because its process may have ended."""
         if daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
--- a/src/hyssopway/replica/replica.py
+++ b/src/hyssopway/replica/replica.py
@@ -1,4 +1,4 @@
-"""The agreed state on one daemon."""
+"""The replicated state on one daemon."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 if TYPE_CHECKING:
     from hyssopway.control import Outcome
 
-# A follower that missed more entries reads a snapshot instead.
-RECENT_ENTRIES = 2000
+# A follower that lags by more entries reads a snapshot instead.
+MAX_RECENT_ENTRIES = 2000
 
 
 class Replica:
-    """Agreed state that only moves forward, with the entries that made it.
+    """Replicated state whose applied index never decreases, with its most recent entries.
 
     Attributes:
         state: The state.
-        recent: Last entries applied, for followers of this daemon.
-        snapshot: Index and bytes of the snapshot that readers are in the middle of.
-        vm_wakers: Event of the request that waits for orders to a VM.
-        wakers: Events of tasks that wait for a change.
+        recent_entries: Last entries applied, kept for the followers of this daemon.
+        snapshot: Index and bytes of the snapshot that is being sent to followers.
+        vm_change_events: By VM, the event of the request that waits for orders to that VM.
+        change_events: Events of the tasks that wait for new entries.
     """
 
-    __slots__ = ("recent", "snapshot", "state", "vm_wakers", "wakers")
+    __slots__ = ("change_events", "recent_entries", "snapshot", "state", "vm_change_events")
 
     def __init__(self) -> None:
         self.state = ControlState()
-        self.recent: deque[bytes] = deque(maxlen=RECENT_ENTRIES)
+        self.recent_entries: deque[bytes] = deque(maxlen=MAX_RECENT_ENTRIES)
         self.snapshot: tuple[int, bytes] = (0, b"")
-        self.wakers: set[asyncio.Event] = set()
-        self.vm_wakers: dict[str, asyncio.Event] = {}
+        self.change_events: set[asyncio.Event] = set()
+        self.vm_change_events: dict[str, asyncio.Event] = {}
 
     @property
     def applied_index(self) -> int:
@@ -41,17 +41,17 @@
         return self.state.applied_index
 
     @property
-    def first_recent_index(self) -> int:
-        """Index of the oldest entry that is kept."""
-        return self.applied_index - len(self.recent) + 1
+    def first_kept_index(self) -> int:
+        """Index of the oldest entry that is still kept."""
+        return self.applied_index - len(self.recent_entries) + 1
 
     def apply(self, *, index: int, data: bytes) -> Outcome:
         """Applies one committed entry."""
         outcome = self.state.apply(index=index, data=data)
-        self.recent.append(data)
-        self._wake()
+        self.recent_entries.append(data)
+        self._notify()
         for vm in self.state.indexes.touched:
-            self.wake_vm(vm)
+            self.notify_vm(vm)
         return outcome
 
     def encode_snapshot(self) -> bytes:
@@ -59,58 +59,64 @@
         return self.state.encode_snapshot()
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Takes over a snapshot unless it is older than the state."""
+        """Replaces the state by a snapshot unless the snapshot is not newer."""
         state = ControlState()
         state.restore_snapshot(data)
         if state.applied_index <= self.state.applied_index:
             return
         self.state = state
-        self.recent.clear()
-        self._wake()
-        for vm in self.vm_wakers:
-            self.wake_vm(vm)
+        self.recent_entries.clear()
+        self._notify()
+        for vm in self.vm_change_events:
+            self.notify_vm(vm)
 
     def entries_after(self, index: int) -> tuple[bytes, ...] | None:
-        """Returns the entries behind an index, or None when they are no longer kept."""
-        if index + 1 < self.first_recent_index:
+        """Returns the entries after an index, or None when some of them are no longer kept."""
+        if index + 1 < self.first_kept_index:
             return None
         missing = self.applied_index - index
-        return tuple(self.recent[position] for position in range(-missing, 0))
+        return tuple(self.recent_entries[position] for position in range(-missing, 0))
 
     def cached_snapshot(self, *, offset: int) -> tuple[int, bytes]:
-        """Returns index and bytes of a snapshot; a new one only for a reader at its start.
+        """Returns index and bytes of the current snapshot; renews it only for a read at offset 0.
 
-        The snapshot is shared while its readers can go on with the entries that are kept, so that many
-        followers that start together neither have it encoded for each nor replace it under one another.
+        Readers share a snapshot while the entries after it are still kept. Many followers that start
+        together neither encode one each nor replace the one that another is reading.
         """
-        too_old = self.applied_index - self.snapshot[0] > min(len(self.recent), RECENT_ENTRIES // 2)
-        if offset == 0 and (too_old or not self.snapshot[1]):
+        is_outdated = self.applied_index - self.snapshot[0] > min(
+            len(self.recent_entries), MAX_RECENT_ENTRIES // 2
+        )
+        if offset == 0 and (is_outdated or not self.snapshot[1]):
             self.snapshot = (self.applied_index, self.encode_snapshot())
         return self.snapshot
 
-    async def wait_beyond(self, index: int, *, timeout_s: float) -> bool:
-        """Waits until something behind an index is applied."""
-        waker = asyncio.Event()
-        self.wakers.add(waker)
+    async def wait_applied_past(self, index: int, *, timeout_s: float) -> bool:
+        """Waits until an entry after an index is applied.
+
+        Returns:
+            False when the timeout passed first.
+        """
+        event = asyncio.Event()
+        self.change_events.add(event)
         try:
             async with asyncio.timeout(timeout_s):
                 while self.applied_index <= index:
-                    waker.clear()
-                    await waker.wait()
+                    event.clear()
+                    await event.wait()
         except TimeoutError:
             return False
         finally:
-            self.wakers.discard(waker)
+            self.change_events.discard(event)
         return True
 
-    def wake_vm(self, vm: str) -> None:
-        """Wakes the request that waits for orders to a VM."""
-        if waker := self.vm_wakers.get(vm):
-            waker.set()
+    def notify_vm(self, vm: str) -> None:
+        """Wakes up the request that waits for orders to a VM."""
+        if event := self.vm_change_events.get(vm):
+            event.set()
 
-    def _wake(self) -> None:
-        for waker in self.wakers:
-            waker.set()
+    def _notify(self) -> None:
+        for event in self.change_events:
+            event.set()
 
 
-__all__ = ["RECENT_ENTRIES", "Replica"]
+__all__ = ["MAX_RECENT_ENTRIES", "Replica"]
--- a/src/hyssopway/settings/loading.py
+++ b/src/hyssopway/settings/loading.py
@@ -1,4 +1,4 @@
-"""Reads daemon settings."""
+"""Loading and validation of daemon settings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def load_settings(path: Path) -> Result[DaemonSettings, list[Problem]]:
-    """Reads and checks a settings file; reports every problem at once."""
+    """Reads and validates a settings file; reports all problems at once."""
     match read_yaml(path):
         case Result(tag="error", error=problems):
             return Error(problems)
@@ -30,13 +30,13 @@
             pass
     match validate(adapter=_ADAPTER, data=data, file=str(path)):
         case Result(tag="ok", ok=settings):
-            problems = list(_find_conflicts(settings=settings, file=str(path)))
+            problems = list(_find_inconsistencies(settings=settings, file=str(path)))
             return Error(problems) if problems else Ok(settings)
         case Result(error=problems):
             return Error(problems)
 
 
-def _find_conflicts(*, settings: DaemonSettings, file: str) -> list[Problem]:
+def _find_inconsistencies(*, settings: DaemonSettings, file: str) -> list[Problem]:
     problems = []
     names = [peer.name for peer in settings.peers]
     if settings.name not in names:
@@ -46,12 +46,12 @@
         for name in sorted({name for name in names if names.count(name) > 1})
     ]
     addresses = [(peer.host, port) for peer in settings.peers for port in (peer.http_port, peer.peer_port)]
-    shared = sorted({address for address in addresses if addresses.count(address) > 1})
+    duplicates = sorted({address for address in addresses if addresses.count(address) > 1})
     problems += [
         Problem(file=file, path="peers", found=f"{host}:{port} twice", allowed="each address once")
-        for host, port in shared
+        for host, port in duplicates
     ]
-    if settings.name in names and settings.own.member and settings.data_dir is None:
+    if settings.name in names and settings.own_address.member and settings.data_dir is None:
         problems.append(
             Problem(file=file, path="data_dir", found="nothing", allowed="a folder, since this is a member")
         )
--- a/src/hyssopway/settings/peer_address.py
+++ b/src/hyssopway/settings/peer_address.py
@@ -1,4 +1,4 @@
-"""Address of one daemon of the deployment."""
+"""Network address of one daemon of the deployment."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from pydantic import AfterValidator, Field
 
 
-def _check_ip_number(text: str) -> str:
+def _validate_ip_address(text: str) -> str:
     ipaddress.ip_address(text)
     return text
 
 
-IpNumber = Annotated[str, AfterValidator(_check_ip_number)]
+IpAddress = Annotated[str, AfterValidator(_validate_ip_address)]
 Port = Annotated[int, Field(ge=1, le=65_535)]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerAddress:
-    """Where one daemon listens.
+    """Address and ports on which one daemon listens.
 
     Attributes:
         name: Name of the daemon, unique in the deployment.
         zone: Availability zone of its VM.
-        host: IP number.
-        http_port: Port for callers, operators, endpoints and workers.
-        peer_port: Port for other daemons.
-        member: Whether the VM has a disk and carries a control member.
+        host: IP address.
+        http_port: HTTP port for callers, operators, endpoints and workers.
+        peer_port: RPC port for other daemons.
+        member: Whether the daemon is a control member; its VM must have a disk.
     """
 
     name: str
     zone: str
-    host: IpNumber
+    host: IpAddress
     http_port: Port
     peer_port: Port
     member: bool = False
--- a/src/hyssopway/worker/sessions.py
+++ b/src/hyssopway/worker/sessions.py
@@ -110,8 +110,8 @@
         try:
             return await self._wait_for_orders(vm=vm, request=request, acknowledged=acknowledged, waker=waker)
         finally:
-            if self.replica.vm_wakers.get(vm) is waker:
-                del self.replica.vm_wakers[vm]
+            if self.replica.vm_change_events.get(vm) is waker:
+                del self.replica.vm_change_events[vm]
 
     async def _wait_for_orders(
         self, *, vm: str, request: SyncRequest, acknowledged: list[str], waker: asyncio.Event
@@ -131,8 +131,8 @@
             if session is None:
                 session = self._open_session(vm=vm, request=request)
                 # Wakes the previous waiting request, which this one has overtaken.
-                self.replica.wake_vm(vm)
-                self.replica.vm_wakers[vm] = waker
+                self.replica.notify_vm(vm)
+                self.replica.vm_change_events[vm] = waker
             reply = self._build_reply(session, acknowledged=acknowledged)
             orders = (reply.stop, reply.checkpoint, reply.throttle)
             left_s = deadline - self.clock()
@@ -200,7 +200,7 @@
 
         A home that lags behind would start a run again that the worker ended through its previous home.
         """
-        await self.replica.wait_beyond(request.seen_index - 1, timeout_s=CATCH_UP_TIMEOUT_S)
+        await self.replica.wait_applied_past(request.seen_index - 1, timeout_s=CATCH_UP_TIMEOUT_S)
         if self.replica.applied_index < request.seen_index or isinf(self.freshness.age_s):
             message = f"state at index {self.replica.applied_index} is behind {request.seen_index}"
             return Failure(code=ResultCode.REPLICA_BEHIND, message=message, retry_after_s=0.5)
@@ -216,8 +216,8 @@
             job.run for job in self.jobs_on(vm) if job.run and (job.job_id, job.run.epoch) not in reported
         ]
         index = max((run.started_index for run in runs), default=0)
-        if index > self.freshness.covered_index and self.freshness.is_valid:
-            await self.freshness.wait_covered(index, timeout_s=COVER_TIMEOUT_S)
+        if index > self.freshness.confirmed_index and self.freshness.is_valid:
+            await self.freshness.wait_confirmed(index, timeout_s=COVER_TIMEOUT_S)
 
     async def _register(self, *, vm: str, request: SyncRequest) -> Failure | None:
         record = self.replica.state.tables.vms.get(vm)
@@ -293,7 +293,7 @@
                 lost = job.run is not None and job.run.boot_id not in ("", vm.boot_id)
                 outcome = RunOutcome.LOST if lost else RunOutcome.STOPPED
                 self.reports.abandon(job=job, vm=vm, outcome=outcome, detail=reason)
-            elif job.run is not None and job.run.started_index <= self.freshness.covered_index:
+            elif job.run is not None and job.run.started_index <= self.freshness.confirmed_index:
                 orders.append(_build_start_order(job, start_within_s=start_within_s))
         self._drop_ended_runs()
         return orders
--- a/tests/states.py
+++ b/tests/states.py
@@ -128,5 +128,5 @@
     """Returns a freshness that is confirmed now and covers all log entries."""
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock.now)
-    freshness.cover(index=1_000_000)
+    freshness.confirm_index(index=1_000_000)
     return freshness
--- a/tests/worker/test_sessions.py
+++ b/tests/worker/test_sessions.py
@@ -234,11 +234,11 @@
 
 async def test_run_is_started_only_after_the_leader_confirmed_it(home):
     """Guards against starting a run that the leader may revoke if this home becomes silent."""
-    home.freshness.covered_index = home.job.run.started_index - 1
+    home.freshness.confirmed_index = home.job.run.started_index - 1
     assert (await home.reply()).start == []
     waiting = asyncio.create_task(home.reply())
-    await asyncio.wait_for(home.freshness.asked.wait(), 5)
-    home.freshness.cover(index=home.job.run.started_index)
+    await asyncio.wait_for(home.freshness.confirmation_requested.wait(), 5)
+    home.freshness.confirm_index(index=home.job.run.started_index)
     assert [order.job_id for order in (await waiting).start] == ["job"]
 
 
@@ -265,7 +265,7 @@
         home.submitter.apply_or_fail(EndRun(job_id="job", epoch=1, outcome=RunOutcome.STOPPED))
     waiting = asyncio.create_task(home.sync(running=running, wait_s=WAIT_S, number=1))
     async with asyncio.timeout(5):
-        while "vm" not in home.submitter.replica.vm_wakers:  # noqa: ASYNC110  bounded by the timeout
+        while "vm" not in home.submitter.replica.vm_change_events:  # noqa: ASYNC110  bounded by the timeout
             await asyncio.sleep(0)
     assert not waiting.done()
     match case:
