--- a/src/hyssopway/daemon/exchanges.py
+++ b/src/hyssopway/daemon/exchanges.py
@@ -21,7 +21,7 @@
     """Returns the answer to each topic."""
     return {
         LOAD_TOPIC: lambda loads: take_loads(daemon, loads),
-        SUMMARY_TOPIC: daemon.requests.homes.answer,
+        SUMMARY_TOPIC: daemon.requests.homes.handle_exchange,
         STATUS_TOPIC: lambda _: own_status(daemon),
         LIST_TOPIC: daemon.group.members.answer_list,
         CHANGE_TOPIC: daemon.group.members.answer_change,
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -12,7 +12,7 @@
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
 from hyssopway.metrics import Metrics
-from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
+from hyssopway.routing import CreditLedger, HeldCollector, HomeDirectory, Router
 
 from .control_group import nearest_first
 
@@ -66,7 +66,7 @@
         self.metrics = Metrics()
         self.registry = EndpointRegistry(clock=clock, may_serve=self._vm_may_serve)
         self.ledger = CreditLedger(registry=self.registry, clock=clock, entries=len(settings.peers))
-        self.homes = Homes(
+        self.homes = HomeDirectory(
             own_name=settings.name,
             ledger=self.ledger,
             peers=group.peers,
--- a/src/hyssopway/routing/__init__.py
+++ b/src/hyssopway/routing/__init__.py
@@ -4,7 +4,7 @@
 
 from .collector import GRANTS_TOPIC, HeldCollector
 from .held_credit import HeldCredit
-from .homes import SUMMARY_TOPIC, SUMMARY_VALID_S, Homes
+from .home_directory import SUMMARY_TOPIC, SUMMARY_VALID_S, HomeDirectory
 from .ledger import CREDIT_LEASE_S, HOME_MARGIN_S, CreditLedger
 from .router import Router
 
@@ -17,6 +17,6 @@
     "CreditLedger",
     "HeldCollector",
     "HeldCredit",
-    "Homes",
+    "HomeDirectory",
     "Router",
 ]
--- a/src/hyssopway/routing/homes.py
+++ b/src/hyssopway/routing/home_directory.py
@@ -50,7 +50,7 @@
     way_s: float = FIRST_WAY_S
 
 
-class Homes:
+class HomeDirectory:
     """Homes that endpoints may have announced to.
 
     Attributes:
@@ -79,7 +79,7 @@
         self.clock = clock
         self.summarise: Callable[[], list[Summary]] = list
 
-    async def ask(self, *, home: str, request: CreditRequest) -> CreditReply:
+    async def request_credits(self, *, home: str, request: CreditRequest) -> CreditReply:
         """Asks a home for credits.
 
         Raises:
@@ -109,7 +109,7 @@
             home.summaries[service].slots for near in (True, False) for home in self.known(service, near=near)
         )
 
-    def answer(self, _: object) -> list[Summary]:
+    def handle_exchange(self, _: object) -> list[Summary]:
         """Answers an exchange."""
         return self.summarise()
 
@@ -131,4 +131,4 @@
         home.summaries = {(item.environment, item.service): item for item in _SUMMARIES.validate_json(data)}
 
 
-__all__ = ["SUMMARY_TOPIC", "SUMMARY_VALID_S", "Home", "Homes"]
+__all__ = ["SUMMARY_TOPIC", "SUMMARY_VALID_S", "Home", "HomeDirectory"]
--- a/src/hyssopway/routing/router.py
+++ b/src/hyssopway/routing/router.py
@@ -17,7 +17,7 @@
     from hyssopway.result import Failure
 
     from .held_credit import HeldCredit
-    from .homes import Homes
+    from .home_directory import HomeDirectory
 
 MAINTAIN_S = 0.1
 # The endpoint learns from the closed connection that a request was given up; its slot is used again only
@@ -37,7 +37,7 @@
 
     __slots__ = ("clock", "health", "homes", "queues")
 
-    def __init__(self, *, homes: Homes, health: EndpointHealth, clock: Clock) -> None:
+    def __init__(self, *, homes: HomeDirectory, health: EndpointHealth, clock: Clock) -> None:
         self.homes = homes
         self.health = health
         self.clock = clock
--- a/src/hyssopway/routing/service_queue.py
+++ b/src/hyssopway/routing/service_queue.py
@@ -19,7 +19,7 @@
     from hyssopway.clock import Clock
     from hyssopway.endpoint import EndpointHealth
 
-    from .homes import Homes
+    from .home_directory import HomeDirectory
 
 # Pause of the one refill task while all homes are short. Credits in use come back without it.
 REFILL_PAUSE_S = 0.02
@@ -81,7 +81,7 @@
         self,
         *,
         service: tuple[str, str],
-        homes: Homes,
+        homes: HomeDirectory,
         health: EndpointHealth,
         clock: Clock,
         rng: random.Random | None = None,
@@ -328,7 +328,7 @@
         sent_at = self.clock()
         request = self._request(wanted=len(self.waiting), returned=self._take_returning(home))
         try:
-            reply = await self.homes.ask(home=home, request=request)
+            reply = await self.homes.request_credits(home=home, request=request)
         except PeerUnreachableError:
             return 0
         expires_at = sent_at + reply.credits[0].lease_s if reply.credits else sent_at
@@ -384,7 +384,7 @@
         by_id = {item.credit.credit_id: item for item in held}
         request = self._request(renewed=tuple(by_id), returned=self._take_returning(home))
         try:
-            reply = await self.homes.ask(home=home, request=request)
+            reply = await self.homes.request_credits(home=home, request=request)
         except PeerUnreachableError:
             return  # the leases end by themselves
         self._note(by_id, reply=reply, sent_at=sent_at, home=home)
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -25,7 +25,7 @@
 from hyssopway.metrics import Metrics
 from hyssopway.replica import Freshness
 from hyssopway.result import Failure, ResultCode, WorkState
-from hyssopway.routing import CreditLedger, Homes, Router
+from hyssopway.routing import CreditLedger, HomeDirectory, Router
 
 if TYPE_CHECKING:
     from hyssopway.control.command import ClaimRequest, ReleaseClaim, ResolveClaim
@@ -224,7 +224,7 @@
     submitter.state.indexes.parsed["production"] = document
     registry = EndpointRegistry(clock=clock)
     ledger = CreditLedger(registry=registry, clock=clock)
-    homes = Homes(own_name="one", ledger=ledger, peers=None, others={}, clock=clock)
+    homes = HomeDirectory(own_name="one", ledger=ledger, peers=None, others={}, clock=clock)
     router = Router(homes=homes, health=EndpointHealth(clock=clock), clock=clock)
     maintaining = asyncio.create_task(router.run())
     sessions = [open_session(reuse_connections=reuse) for reuse in (True, False)]
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -10,7 +10,7 @@
 
 from hyssopway.endpoint import Announcement, EndpointHealth, EndpointRegistry
 from hyssopway.peer import PeerUnreachableError
-from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
+from hyssopway.routing import CreditLedger, HeldCollector, HomeDirectory, Router
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
     name: str
     registry: EndpointRegistry
     ledger: CreditLedger
-    homes: Homes
+    homes: HomeDirectory
     router: Router
     health: EndpointHealth
     collector: HeldCollector
@@ -101,7 +101,7 @@
         registry = EndpointRegistry(clock=clock)
         ledger = CreditLedger(registry=registry, clock=clock, entries=entries, rng=random.Random(1))
         others = dict.fromkeys(peers.daemons, near)
-        homes = Homes(own_name=name, ledger=ledger, peers=peers, others=others, clock=clock)
+        homes = HomeDirectory(own_name=name, ledger=ledger, peers=peers, others=others, clock=clock)
         health = EndpointHealth(clock=clock)
         router = Router(homes=homes, health=health, clock=clock)
         collector = HeldCollector(
