--- a/src/hyssopway/daemon/exchanges.py
+++ b/src/hyssopway/daemon/exchanges.py
@@ -25,7 +25,7 @@
         STATUS_TOPIC: lambda _: own_status(daemon),
         LIST_TOPIC: daemon.group.members.answer_list,
         CHANGE_TOPIC: daemon.group.members.answer_change,
-        GRANTS_TOPIC: daemon.requests.collector.own_grants,
+        GRANTS_TOPIC: daemon.requests.collector.report_grants,
         VM_REQUESTS_TOPIC: daemon.fleet.vm_requests.build_report,
         ENTRY_STOPPED_TOPIC: daemon.fleet.vm_requests.record_stop,
     }
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -12,7 +12,7 @@
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
 from hyssopway.metrics import Metrics
-from hyssopway.routing import CreditLedger, HeldCollector, HomeDirectory, Router
+from hyssopway.routing import CreditLedger, HeldCreditCollector, HomeDirectory, Router
 
 from .control_group import nearest_first
 
@@ -74,15 +74,15 @@
             clock=clock,
         )
         self.router = Router(homes=self.homes, health=EndpointHealth(clock=clock), clock=clock)
-        self.collector = HeldCollector(
+        self.collector = HeldCreditCollector(
             own_name=settings.name,
             ledger=self.ledger,
             router=self.router,
             peers=group.peers,
             others=nearest_first(settings),
-            near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
+            own_zone=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
         )
-        self.registry.arrived = self.collector.begin
+        self.registry.arrived = self.collector.start
 
     def open(self) -> None:
         """Opens the clients, which need a running loop, and builds the gateway."""
--- a/src/hyssopway/routing/__init__.py
+++ b/src/hyssopway/routing/__init__.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .collector import GRANTS_TOPIC, HeldCollector
 from .held_credit import HeldCredit
+from .held_credit_collector import GRANTS_TOPIC, HeldCreditCollector
 from .home_directory import SUMMARY_TOPIC, SUMMARY_VALID_S, HomeDirectory
 from .ledger import CREDIT_LEASE_S, HOME_MARGIN_S, CreditLedger
 from .router import Router
@@ -15,8 +15,8 @@
     "SUMMARY_TOPIC",
     "SUMMARY_VALID_S",
     "CreditLedger",
-    "HeldCollector",
     "HeldCredit",
+    "HeldCreditCollector",
     "HomeDirectory",
     "Router",
 ]
--- a/src/hyssopway/routing/collector.py
+++ b/src/hyssopway/routing/held_credit_collector.py
@@ -28,7 +28,7 @@
 BLOCKED_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S
 
 
-class HeldCollector:
+class HeldCreditCollector:
     """Keeps the sum of credits within the slots when an endpoint changes its home.
 
     Attributes:
@@ -42,7 +42,7 @@
         tasks: Collections in progress.
     """
 
-    __slots__ = ("ledger", "near", "others", "own_name", "peers", "router", "started_at", "tasks")
+    __slots__ = ("ledger", "others", "own_name", "own_zone", "peers", "router", "started_at", "tasks")
 
     def __init__(
         self,
@@ -52,18 +52,18 @@
         router: Router,
         peers: PeerDirectory,
         others: list[str],
-        near: frozenset[str],
+        own_zone: frozenset[str],
     ) -> None:
         self.own_name = own_name
         self.ledger = ledger
         self.router = router
         self.peers = peers
         self.others = others
-        self.near = near
+        self.own_zone = own_zone
         self.started_at = ledger.clock()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self, endpoint: Endpoint) -> None:
+    def start(self, endpoint: Endpoint) -> None:
         """Blocks an endpoint that is new here until all daemons answered or their leases ended."""
         endpoint.blocked_until = self.ledger.clock() + BLOCKED_S
         task = asyncio.create_task(self.collect(endpoint))
@@ -88,7 +88,7 @@
             log_event(Event.HOLDERS_SILENT, endpoint=endpoint.name, daemons=", ".join(missing))
         endpoint.blocked_until = 0.0
 
-    def own_grants(self, endpoint: str) -> dict[str, Any]:
+    def report_grants(self, endpoint: str) -> dict[str, Any]:
         """Returns which daemons hold credits that this one handed out, and how long it has known."""
         now = self.ledger.clock()
         grants = self.ledger.grants.values()
@@ -102,11 +102,11 @@
         or in contact with it. A daemon of another zone got its credits from a home of this zone, and each
         of those knows what it handed out.
         """
-        if not silent or any(name in self.near for name in silent):
+        if not silent or any(name in self.own_zone for name in silent):
             return silent
-        answers = await asyncio.gather(*(self._ask_grants(name, endpoint=endpoint) for name in self.near))
-        known = [answer for answer in (*answers, self.own_grants(endpoint)) if answer is not None]
-        if len(known) <= len(self.near) or any(answer["uptime_s"] < BLOCKED_S for answer in known):
+        answers = await asyncio.gather(*(self._ask_grants(name, endpoint=endpoint) for name in self.own_zone))
+        known = [answer for answer in (*answers, self.report_grants(endpoint)) if answer is not None]
+        if len(known) <= len(self.own_zone) or any(answer["uptime_s"] < BLOCKED_S for answer in known):
             return silent
         return [name for name in silent if any(name in answer["holders"] for answer in known)]
 
@@ -127,4 +127,4 @@
             return None
 
 
-__all__ = ["BLOCKED_S", "GRANTS_TOPIC", "HeldCollector"]
+__all__ = ["BLOCKED_S", "GRANTS_TOPIC", "HeldCreditCollector"]
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -10,7 +10,7 @@
 
 from hyssopway.endpoint import Announcement, EndpointHealth, EndpointRegistry
 from hyssopway.peer import PeerUnreachableError
-from hyssopway.routing import CreditLedger, HeldCollector, HomeDirectory, Router
+from hyssopway.routing import CreditLedger, HeldCreditCollector, HomeDirectory, Router
 
 
 @dataclass(slots=True)
@@ -61,7 +61,7 @@
 
     async def exchange(self, *, topic, data, timeout_s):
         """Asks for the credits that the daemon handed out."""
-        return to_json(self._target().collector.own_grants(from_json(data)))
+        return to_json(self._target().collector.report_grants(from_json(data)))
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
     homes: HomeDirectory
     router: Router
     health: EndpointHealth
-    collector: HeldCollector
+    collector: HeldCreditCollector
 
     def announce(self, name: str, *, age_s: float = 10.0, **fields) -> None:
         """Announces an endpoint that is past its slow start."""
@@ -104,13 +104,13 @@
         homes = HomeDirectory(own_name=name, ledger=ledger, peers=peers, others=others, clock=clock)
         health = EndpointHealth(clock=clock)
         router = Router(homes=homes, health=health, clock=clock)
-        collector = HeldCollector(
+        collector = HeldCreditCollector(
             own_name=name,
             ledger=ledger,
             router=router,
             peers=peers,
             others=list(others),
-            near=frozenset(others if near else ()),
+            own_zone=frozenset(others if near else ()),
         )
         entry = Entry(name, registry, ledger, homes, router, health, collector)
         peers.daemons[name] = entry
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -8,8 +8,8 @@
 
 from hyssopway.peer import CreditRequest
 from hyssopway.routing import CREDIT_LEASE_S
-from hyssopway.routing.collector import BLOCKED_S
 from hyssopway.routing.fairness import fair_shares
+from hyssopway.routing.held_credit_collector import BLOCKED_S
 
 LOOP_ROUNDS = 50
 
@@ -123,7 +123,7 @@
     new = make_entry("new")
     peers.caller = "new"
     peers.silent = silent
-    new.registry.arrived = new.collector.begin
+    new.registry.arrived = new.collector.start
     new.announce("a")
     (task,) = new.collector.tasks
     await _run_ready_tasks()
@@ -157,10 +157,10 @@
         assert _ask(old, "far", wanted=1).credits
     new = make_entry("new")
     new.collector.started_at -= BLOCKED_S
-    new.collector.near = frozenset({"old", "far"} if case == "own zone" else {"old"})
+    new.collector.own_zone = frozenset({"old", "far"} if case == "own zone" else {"old"})
     peers.caller = "new"
     peers.silent = {"far", "old"} if case == "other home silent" else {"far"}
-    new.registry.arrived = new.collector.begin
+    new.registry.arrived = new.collector.start
     new.announce("a")
     (task,) = new.collector.tasks
     await _run_ready_tasks()
