--- a/src/hyssopway/fleet/vm_request_counter.py
+++ b/src/hyssopway/fleet/vm_request_counter.py
@@ -12,7 +12,7 @@
 from hyssopway.document import parse_document
 from hyssopway.endpoint import ENDPOINT_LEASE_S
 from hyssopway.peer import PeerUnreachableError
-from hyssopway.routing import CREDIT_LEASE_S, HOME_MARGIN_S, SUMMARY_VALID_S
+from hyssopway.routing import CLOCK_DRIFT_MARGIN_S, CREDIT_LEASE_S, SUMMARY_VALID_S
 
 if TYPE_CHECKING:
     from hyssopway.peer import PeerDirectory
@@ -25,12 +25,12 @@
 STOP_TIMEOUT_S = 0.5
 # After its last contact an entry may still renew credits until others miss its summaries, and then use them
 # until their lease ends.
-LAST_START_S = SUMMARY_VALID_S + CREDIT_LEASE_S + HOME_MARGIN_S
+LAST_START_S = SUMMARY_VALID_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
 # Oldest count of a VM that a sync brings: a worker gives a sync up after 2.5 s.
 REPORT_AGE_S = 3.0
 # An endpoint that left gets its last request when its lease at a home that it could not tell and the credits
 # of that home have ended; the count must be younger.
-LEFT_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S + REPORT_AGE_S
+LEFT_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S + REPORT_AGE_S
 
 
 class VmRequestCounter:
--- a/src/hyssopway/routing/held_credit_collector.py
+++ b/src/hyssopway/routing/held_credit_collector.py
@@ -11,7 +11,7 @@
 from hyssopway.event import Event, log_event
 from hyssopway.peer import PeerUnreachableError
 
-from .ledger import CREDIT_LEASE_S, HOME_MARGIN_S
+from .ledger import CLOCK_DRIFT_MARGIN_S, CREDIT_LEASE_S
 
 if TYPE_CHECKING:
     from hyssopway.endpoint import Endpoint
@@ -25,7 +25,7 @@
 PAUSE_S = 0.25
 # A home that is cut off from this daemon may hand out credits until the endpoint's lease there ends,
 # and those are valid for one lease more.
-BLOCKED_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S
+BLOCKED_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
 
 
 class HeldCreditCollector:
--- a/src/hyssopway/routing/ledger.py
+++ b/src/hyssopway/routing/ledger.py
@@ -22,7 +22,7 @@
 CREDIT_LEASE_S = 2.0
 # Holders count the lease from when they sent the request, the home from when it answers.
 # The margin covers clock rates that differ a little.
-HOME_MARGIN_S = 0.1
+CLOCK_DRIFT_MARGIN_S = 0.1
 # A new endpoint gets a quarter of its slots at first and all of them after this time.
 SLOW_START_S = 2.0
 SLOW_START_PART = 0.25
@@ -87,7 +87,7 @@
 
     def adopt(self, credits_held: Iterable[Credit], *, daemon: str) -> None:
         """Counts credits that an earlier home handed out."""
-        expires_at = self.clock() + CREDIT_LEASE_S + HOME_MARGIN_S
+        expires_at = self.clock() + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
         for credit in credits_held:
             if credit.credit_id not in self.grants:
                 self._add(
@@ -138,7 +138,7 @@
         endpoint = self.registry.endpoints.get(grant.endpoint)
         if endpoint is not None and endpoint.announcement.address != grant.address:
             return False
-        grant.expires_at = now + CREDIT_LEASE_S + HOME_MARGIN_S
+        grant.expires_at = now + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
         return True
 
     def _allowed(
@@ -221,7 +221,7 @@
                 address=address,
                 service=(request.environment, request.service),
                 daemon=request.daemon,
-                expires_at=now + CREDIT_LEASE_S + HOME_MARGIN_S,
+                expires_at=now + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S,
                 vm=endpoint.announcement.vm,
             ),
         )
@@ -242,4 +242,4 @@
     return max(1, min(slots, math.ceil(slots * part)))
 
 
-__all__ = ["CREDIT_LEASE_S", "HOME_MARGIN_S", "CreditLedger"]
+__all__ = ["CLOCK_DRIFT_MARGIN_S", "CREDIT_LEASE_S", "CreditLedger"]
