--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -170,7 +170,7 @@
 
     async def held_credits(self, *, daemon: str, endpoint: str) -> list[Credit]:
         """Returns the credits held here for an endpoint whose home is now the daemon that asks."""
-        return self.router.hand_over(endpoint=endpoint, home=daemon)
+        return self.router.reassign_home(endpoint=endpoint, home=daemon)
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
         """Takes and returns soft state."""
--- a/src/hyssopway/fleet/vm_request_counter.py
+++ b/src/hyssopway/fleet/vm_request_counter.py
@@ -106,7 +106,7 @@
             "granted": sum(
                 grant.vm == vm and grant.expires_at > now for grant in self.ledger.grants.values()
             ),
-            "held": self.router.held_on(vm),
+            "held": self.router.count_credits_on(vm),
             "heard": {name: now - home.heard_at for name, home in self.router.homes.others.items()},
         }
 
--- a/src/hyssopway/routing/held_credit_collector.py
+++ b/src/hyssopway/routing/held_credit_collector.py
@@ -72,7 +72,7 @@
 
     async def collect(self, endpoint: Endpoint) -> None:
         """Asks every daemon until it answers or its leases ended."""
-        held = self.router.hand_over(endpoint=endpoint.name, home=self.own_name)
+        held = self.router.reassign_home(endpoint=endpoint.name, home=self.own_name)
         self.ledger.adopt(held, daemon=self.own_name)
         missing = list(self.others)
         while missing and self.ledger.clock() < endpoint.blocked_until:
--- a/src/hyssopway/routing/router.py
+++ b/src/hyssopway/routing/router.py
@@ -70,16 +70,18 @@
         else:
             queue.release(held)
 
-    def hand_over(self, *, endpoint: str, home: str) -> list[Credit]:
+    def reassign_home(self, *, endpoint: str, home: str) -> list[Credit]:
         """Returns the credits held for an endpoint that announced itself to a new home."""
         if home != self.homes.own_name:
             self.homes.ledger.registry.leave(name=endpoint, reason=f"moved to {home}")
         found = [
-            held for queue in self.queues.values() for held in queue.hand_over(endpoint=endpoint, home=home)
+            held
+            for queue in self.queues.values()
+            for held in queue.reassign_home(endpoint=endpoint, home=home)
         ]
         return [held.credit for held in found]
 
-    def held_on(self, vm: str) -> int:
+    def count_credits_on(self, vm: str) -> int:
         """Returns the credits that have or may get a request from here on endpoints of a VM."""
         now = self.clock()
         return sum(
--- a/src/hyssopway/routing/service_queue.py
+++ b/src/hyssopway/routing/service_queue.py
@@ -136,7 +136,7 @@
         self.drain.ended(seconds=self.clock() - held.taken_at)
         self._offer(held)
 
-    def hand_over(self, *, endpoint: str, home: str) -> list[HeldCredit]:
+    def reassign_home(self, *, endpoint: str, home: str) -> list[HeldCredit]:
         """Notes the new home of an endpoint and returns the credits held for it."""
         now = self.clock()
         self.idle = [held for held in self.idle if held.expires_at > now]
--- a/tests/fleet/test_vm_request_counter.py
+++ b/tests/fleet/test_vm_request_counter.py
@@ -43,7 +43,7 @@
         history=[],
     )
     others = {name: SimpleNamespace(heard_at=float("-inf")) for name in ("a", "b")}
-    router: Any = SimpleNamespace(homes=SimpleNamespace(others=others), held_on=lambda _: 0)
+    router: Any = SimpleNamespace(homes=SimpleNamespace(others=others), count_credits_on=lambda _: 0)
     ledger: Any = SimpleNamespace(clock=lambda: time.now, grants={})
     replica: Any = SimpleNamespace(state=SimpleNamespace(tables=tables))
     peers: Any = Peers()
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -57,7 +57,7 @@
 
     async def held_credits(self, *, endpoint, timeout_s):
         """Asks for credits held."""
-        return self._target().router.hand_over(endpoint=endpoint, home=self.peers.caller)
+        return self._target().router.reassign_home(endpoint=endpoint, home=self.peers.caller)
 
     async def exchange(self, *, topic, data, timeout_s):
         """Asks for the credits that the daemon handed out."""
