--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -166,7 +166,7 @@
 
     async def credits(self, request: CreditRequest) -> CreditReply:
         """Hands out slot credits of endpoints that announced themselves here."""
-        return self.ledger.answer(request)
+        return self.ledger.handle_request(request)
 
     async def held_credits(self, *, daemon: str, endpoint: str) -> list[Credit]:
         """Returns the credits held here for an endpoint whose home is now the daemon that asks."""
--- a/src/hyssopway/routing/home_directory.py
+++ b/src/hyssopway/routing/home_directory.py
@@ -86,7 +86,7 @@
             PeerUnreachableError: The home did not answer in time.
         """
         if home == self.own_name:
-            return self.ledger.answer(request)
+            return self.ledger.handle_request(request)
         started = self.clock()
         reply = await self.peers.client(home).credits(request=request, timeout_s=CALL_TIMEOUT_S)
         known = self.others[home]
--- a/src/hyssopway/routing/ledger.py
+++ b/src/hyssopway/routing/ledger.py
@@ -66,7 +66,7 @@
         self.held: Counter[tuple[str, str]] = Counter()
         self.waiting: dict[tuple[str, str], dict[str, tuple[int, float]]] = {}
 
-    def answer(self, request: CreditRequest) -> CreditReply:
+    def handle_request(self, request: CreditRequest) -> CreditReply:
         """Takes back, renews and hands out credits."""
         now = self.clock()
         service = (request.environment, request.service)
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -53,7 +53,7 @@
 
     async def credits(self, *, request, timeout_s):
         """Asks for credits."""
-        return self._target().ledger.answer(request)
+        return self._target().ledger.handle_request(request)
 
     async def held_credits(self, *, endpoint, timeout_s):
         """Asks for credits held."""
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -15,7 +15,7 @@
 
 
 def _ask(entry, daemon: str, **fields):
-    return entry.ledger.answer(
+    return entry.ledger.handle_request(
         CreditRequest(daemon=daemon, environment="production", service="plan", **fields)
     )
 
