--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -114,7 +114,7 @@
         await asyncio.sleep(self.settings.drain_health_s)
         log_event(Event.DAEMON_STOPPING, open_requests=self.requests.gateway.open_requests)
         await self.listener.close(finish=self.requests.gateway.wait_idle)
-        await self.requests.claims.finish(timeout_s=CLAIMS_FINISH_S)
+        await self.requests.claims.wait_until_stored(timeout_s=CLAIMS_FINISH_S)
         # An answer after the message would look like a new start of this daemon.
         for topic in (SUMMARY_TOPIC, VM_REQUESTS_TOPIC):
             self.calls.exchanges.pop(topic)
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -8,7 +8,7 @@
 from hyssopway.control.record import VmState
 from hyssopway.endpoint import EndpointHealth, EndpointRegistry
 from hyssopway.gateway import Gateway
-from hyssopway.gateway.claims import ClaimKeeper
+from hyssopway.gateway.claims import ClaimManager
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
 from hyssopway.metrics import Metrics
@@ -57,7 +57,7 @@
 
     session: aiohttp.ClientSession
     once_session: aiohttp.ClientSession
-    claims: ClaimKeeper
+    claims: ClaimManager
     gateway: Gateway
 
     def __init__(self, *, group: ControlGroup) -> None:
@@ -89,7 +89,7 @@
         group = self.group
         self.session = open_session(reuse_connections=True)
         self.once_session = open_session(reuse_connections=False)
-        self.claims = ClaimKeeper(own_name=group.settings.name, submitter=group.submitter)
+        self.claims = ClaimManager(own_name=group.settings.name, submitter=group.submitter)
         self.gateway = Gateway(
             replica=group.replica,
             freshness=group.freshness,
--- a/src/hyssopway/gateway/claims.py
+++ b/src/hyssopway/gateway/claims.py
@@ -47,7 +47,7 @@
     token: str
 
 
-class ClaimKeeper:
+class ClaimManager:
     """Makes sure that a non-idempotent request runs at most once.
 
     Attributes:
@@ -121,7 +121,7 @@
         command = ReleaseClaim(claim_id=held.claim_id, token=held.token)
         self._begin(self._submit(command, claim_id=held.claim_id))
 
-    async def finish(self, *, timeout_s: float) -> None:
+    async def wait_until_stored(self, *, timeout_s: float) -> None:
         """Waits until all outcomes are stored."""
         if self.tasks:
             await asyncio.wait(set(self.tasks), timeout=timeout_s)
@@ -159,4 +159,4 @@
     return failure
 
 
-__all__ = ["MAX_KEPT_BODY_BYTES", "ClaimKeeper", "HeldClaim"]
+__all__ = ["MAX_KEPT_BODY_BYTES", "ClaimManager", "HeldClaim"]
--- a/src/hyssopway/gateway/forwarder.py
+++ b/src/hyssopway/gateway/forwarder.py
@@ -21,7 +21,7 @@
     from hyssopway.routing import HeldCredit
 
     from .call import Call
-    from .claims import ClaimKeeper
+    from .claims import ClaimManager
 
 CONNECT_S = 1.0
 # A caller that takes nothing for this time would keep a slot of the endpoint until its deadline.
@@ -48,7 +48,7 @@
     def __init__(
         self,
         *,
-        claims: ClaimKeeper,
+        claims: ClaimManager,
         session: aiohttp.ClientSession,
         once_session: aiohttp.ClientSession,
         clock: Clock,
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -18,7 +18,7 @@
 from hyssopway.document import QueueAccess, Service
 from hyssopway.endpoint import Announcement, EndpointHealth, EndpointRegistry
 from hyssopway.gateway import Gateway
-from hyssopway.gateway.claims import ClaimKeeper
+from hyssopway.gateway.claims import ClaimManager
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
 from hyssopway.http import HttpListener, answer_errors
@@ -228,7 +228,7 @@
     router = Router(homes=homes, health=EndpointHealth(clock=clock), clock=clock)
     maintaining = asyncio.create_task(router.run())
     sessions = [open_session(reuse_connections=reuse) for reuse in (True, False)]
-    claims = ClaimKeeper(own_name="one", submitter=submitter)
+    claims = ClaimManager(own_name="one", submitter=submitter)
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock() + 1000)
     forwarder = Forwarder(claims=claims, session=sessions[0], once_session=sessions[1], clock=clock)
--- a/tests/gateway/test_claims.py
+++ b/tests/gateway/test_claims.py
@@ -9,14 +9,14 @@
 import pytest
 
 from hyssopway.document import Service
-from hyssopway.gateway.claims import ClaimKeeper
+from hyssopway.gateway.claims import ClaimManager
 from hyssopway.result import ResultCode, WorkState
 
 ONCE = Service(name="once", pool="p", idempotent=False)
 
 
-async def _claim(keeper: ClaimKeeper, *, environment: str = "production", fingerprint: str = "f"):
-    return await keeper.claim(
+async def _claim(manager: ClaimManager, *, environment: str = "production", fingerprint: str = "f"):
+    return await manager.claim(
         environment=environment,
         service=ONCE,
         team="t",
@@ -27,81 +27,81 @@
 
 
 @pytest.fixture
-def keepers(submitter):
-    return [ClaimKeeper(own_name=name, submitter=submitter) for name in ("one", "two")]
+def managers(submitter):
+    return [ClaimManager(own_name=name, submitter=submitter) for name in ("one", "two")]
 
 
-async def test_resends_at_the_same_time_get_one_run(keepers):
+async def test_resends_at_the_same_time_get_one_run(managers):
     """Guards against two runs when a balancer sends a request to two entries at once."""
-    results = await asyncio.gather(*(_claim(keeper) for keeper in keepers * 10))
+    results = await asyncio.gather(*(_claim(manager) for manager in managers * 10))
     assert sum(result.is_ok() for result in results) == 1
     assert {result.error.code for result in results if result.is_error()} == {ResultCode.CLAIM_PENDING}
 
 
-async def test_claim_granted_after_its_outcome_was_lost_is_released(keepers, submitter):
+async def test_claim_granted_after_its_outcome_was_lost_is_released(managers, submitter):
     """Guards against a request that was refused "not run" and can then never run."""
     submitter.lose = {"claim_request"}
-    refused = await _claim(keepers[0])
+    refused = await _claim(managers[0])
     assert refused.error.work is WorkState.NOT_RUN
     submitter.lose = set()
-    await keepers[0].finish(timeout_s=1)
-    assert (await _claim(keepers[1])).is_ok()
+    await managers[0].wait_until_stored(timeout_s=1)
+    assert (await _claim(managers[1])).is_ok()
 
 
-async def test_claim_of_a_caller_who_hung_up_is_released(keepers, submitter):
+async def test_claim_of_a_caller_who_hung_up_is_released(managers, submitter):
     """Guards against a claim that nobody runs because its caller left while it was agreed."""
     submitter.hold = asyncio.Event()
-    task = asyncio.create_task(_claim(keepers[0]))
+    task = asyncio.create_task(_claim(managers[0]))
     await asyncio.sleep(0.01)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     submitter.hold.set()
-    await keepers[0].finish(timeout_s=1)
-    assert (await _claim(keepers[1])).is_ok()
+    await managers[0].wait_until_stored(timeout_s=1)
+    assert (await _claim(managers[1])).is_ok()
 
 
 @pytest.mark.parametrize(
     ("after_s", "code"), [(1, ResultCode.CLAIM_PENDING), (11, ResultCode.CLAIM_UNKNOWN), (3600, None)]
 )
-async def test_claim_of_a_killed_daemon_never_runs_again(keepers, submitter, after_s, code):
+async def test_claim_of_a_killed_daemon_never_runs_again(managers, submitter, after_s, code):
     """Guards against a second run when a daemon is killed between claim and answer."""
-    assert (await _claim(keepers[0])).is_ok()
+    assert (await _claim(managers[0])).is_ok()
     submitter.now_ms += after_s * 1000
-    refused = await _claim(keepers[1])
+    refused = await _claim(managers[1])
     assert refused.error.code is (code or ResultCode.CLAIM_UNKNOWN)
     assert refused.error.work is WorkState.MAY_HAVE_RUN
 
 
 async def test_pending_claim_outlasts_a_short_storage_time(submitter):
     """Guards against a claim that is forgotten while its request is in progress."""
-    keeper = ClaimKeeper(own_name="one", submitter=submitter)
+    manager = ClaimManager(own_name="one", submitter=submitter)
     short = ONCE.__class__(name="once", pool="p", idempotent=False, outcome_kept_s=0.5)
     fields = {"environment": "production", "service": short, "team": "", "idempotency_key": "k"}
-    assert (await keeper.claim(**fields, fingerprint="f", deadline_s=60)).is_ok()
+    assert (await manager.claim(**fields, fingerprint="f", deadline_s=60)).is_ok()
     submitter.now_ms += 59_000
-    assert (await keeper.claim(**fields, fingerprint="f", deadline_s=60)).is_error()
+    assert (await manager.claim(**fields, fingerprint="f", deadline_s=60)).is_error()
 
 
-async def test_lost_resolve_is_repeated(keepers, submitter):
+async def test_lost_resolve_is_repeated(managers, submitter):
     """Guards against an outcome that stays unknown although the daemon knows it."""
-    held = (await _claim(keepers[0])).ok
+    held = (await _claim(managers[0])).ok
     submitter.lose = {"resolve_claim"}
-    await keepers[0].resolve(held, status=200, content_type="text/plain", body=b"done")
-    assert (await _claim(keepers[1])).ok.status == 200
+    await managers[0].resolve(held, status=200, content_type="text/plain", body=b"done")
+    assert (await _claim(managers[1])).ok.status == 200
 
 
-async def test_environments_do_not_share_keys(keepers):
+async def test_environments_do_not_share_keys(managers):
     """Guards against a trial request whose key blocks or answers the one in production."""
-    assert (await _claim(keepers[0])).is_ok()
-    assert (await _claim(keepers[0], environment="trial", fingerprint="g")).is_ok()
+    assert (await _claim(managers[0])).is_ok()
+    assert (await _claim(managers[0], environment="trial", fingerprint="g")).is_ok()
 
 
-async def test_replica_behind_the_outcome_gives_no_empty_answer(keepers, submitter):
+async def test_replica_behind_the_outcome_gives_no_empty_answer(managers, submitter):
     """Guards against an answer with status 0 from a replica that lags."""
-    held = (await _claim(keepers[0])).ok
-    await keepers[0].resolve(held, status=200, content_type="", body=b"")
-    keepers[1].submitter = _Lagging(applied=submitter)
-    refused = await _claim(keepers[1])
+    held = (await _claim(managers[0])).ok
+    await managers[0].resolve(held, status=200, content_type="", body=b"")
+    managers[1].submitter = _Lagging(applied=submitter)
+    refused = await _claim(managers[1])
     assert refused.error.code is ResultCode.CLAIM_PENDING
 
 
