--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -49,14 +49,14 @@
         "homes",
         "ledger",
         "metrics",
-        "once_session",
         "registry",
         "router",
         "session",
+        "single_use_session",
     )
 
     session: aiohttp.ClientSession
-    once_session: aiohttp.ClientSession
+    single_use_session: aiohttp.ClientSession
     claims: ClaimManager
     gateway: Gateway
 
@@ -88,7 +88,7 @@
         """Opens the clients, which need a running loop, and builds the gateway."""
         group = self.group
         self.session = open_session(reuse_connections=True)
-        self.once_session = open_session(reuse_connections=False)
+        self.single_use_session = open_session(reuse_connections=False)
         self.claims = ClaimManager(own_name=group.settings.name, submitter=group.submitter)
         self.gateway = Gateway(
             replica=group.replica,
@@ -97,7 +97,7 @@
             forwarder=Forwarder(
                 claims=self.claims,
                 session=self.session,
-                once_session=self.once_session,
+                single_use_session=self.single_use_session,
                 clock=group.clock,
             ),
             metrics=self.metrics,
@@ -108,7 +108,7 @@
     async def close(self) -> None:
         """Closes the clients."""
         await self.session.close()
-        await self.once_session.close()
+        await self.single_use_session.close()
 
     async def expire(self) -> None:
         """Ends leases of endpoints and credits for as long as the daemon runs."""
--- a/src/hyssopway/gateway/forwarder.py
+++ b/src/hyssopway/gateway/forwarder.py
@@ -43,19 +43,19 @@
         once_session: HTTP client with a connection for each request, for non-idempotent ones.
     """
 
-    __slots__ = ("claims", "clock", "once_session", "session")
+    __slots__ = ("claims", "clock", "session", "single_use_session")
 
     def __init__(
         self,
         *,
         claims: ClaimManager,
         session: aiohttp.ClientSession,
-        once_session: aiohttp.ClientSession,
+        single_use_session: aiohttp.ClientSession,
         clock: Clock,
     ) -> None:
         self.claims = claims
         self.session = session
-        self.once_session = once_session
+        self.single_use_session = single_use_session
         self.clock = clock
 
     async def send(self, call: Call, *, credit: HeldCredit) -> web.StreamResponse:
@@ -81,7 +81,7 @@
             headers["Content-Length"] = str(request.content_length)
         path = request.match_info.get("path", "")
         query = f"?{request.query_string}" if request.query_string else ""
-        session = self.session if call.claim is None else self.once_session
+        session = self.session if call.claim is None else self.single_use_session
         async with session.request(
             request.method,
             f"{credit.credit.address}/{path}{query}",
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -231,7 +231,7 @@
     claims = ClaimManager(own_name="one", submitter=submitter)
     freshness = Freshness(clock=clock)
     freshness.confirm(at=clock() + 1000)
-    forwarder = Forwarder(claims=claims, session=sessions[0], once_session=sessions[1], clock=clock)
+    forwarder = Forwarder(claims=claims, session=sessions[0], single_use_session=sessions[1], clock=clock)
     gateway = Gateway(
         replica=submitter.replica,
         freshness=freshness,
