--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -31,7 +31,7 @@
     Relay,
     RelayedReply,
     RelayedRequest,
-    keep_running,
+    supervise,
 )
 from hyssopway.workflow import WorkflowState
 
@@ -130,9 +130,7 @@
             "lead": self._lead,
             "finder": self.finder.run,
         }
-        self.tasks = [
-            asyncio.create_task(keep_running(name, loop), name=name) for name, loop in loops.items()
-        ]
+        self.tasks = [asyncio.create_task(supervise(name, loop), name=name) for name, loop in loops.items()]
 
     async def resign_leadership(self) -> None:
         """Gives up the lead, if this node has it, and lets the others elect a leader at once."""
--- a/src/hyssopway/relay/__init__.py
+++ b/src/hyssopway/relay/__init__.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from .keep_running import keep_running
 from .leader_finder import LeaderFinder
 from .node_directory import PEER_TOKEN, NodeDirectory
 from .relay import Relay, UnansweredError
 from .relayed_reply import RelayedReply
 from .relayed_request import RelayedRequest
+from .supervise import supervise
 from .topics import JOIN, LEADER, RELAY, STOPPING
 
 __all__ = [
@@ -22,5 +22,5 @@
     "RelayedReply",
     "RelayedRequest",
     "UnansweredError",
-    "keep_running",
+    "supervise",
 ]
--- a/src/hyssopway/relay/keep_running.py
+++ b/src/hyssopway/relay/supervise.py
@@ -13,7 +13,7 @@
 RESTART_S = 0.5
 
 
-async def keep_running(name: str, work: Callable[[], Awaitable[None]]) -> None:
+async def supervise(name: str, work: Callable[[], Awaitable[None]]) -> None:
     """Runs work until it returns and starts it again when it fails."""
     while True:
         try:
@@ -24,4 +24,4 @@
             await asyncio.sleep(RESTART_S)
 
 
-__all__ = ["keep_running"]
+__all__ = ["supervise"]
