--- a/src/hyssopway/gateway/gateway.py
+++ b/src/hyssopway/gateway/gateway.py
@@ -273,19 +273,19 @@
         return await self._send(call, credit=credit)
 
     async def _send(self, call: Call, *, credit: HeldCredit) -> Result[web.StreamResponse, TryFailedError]:
-        given_up = True
+        abandoned = True
         started = self.clock()
         service = (call.environment, call.service.name)
         call.record.endpoints.append(credit.credit.endpoint)
         try:
             answer = await self.forwarder.send(call, credit=credit)
-            given_up = False
+            abandoned = False
             self.budget.succeeded()
             seconds = self.clock() - started
             self.router.health.succeeded(credit.credit.endpoint, service=service, seconds=seconds)
             return Ok(answer)
         except TryFailedError as error:
-            given_up = call.sending
+            abandoned = call.sending
             call.tried |= {credit.credit.endpoint}
             if call.earlier is None and error.failure.work is not WorkState.NOT_RUN:
                 call.earlier = error.failure
@@ -293,7 +293,7 @@
                 self.router.health.failed(credit.credit.endpoint, service=service)
             return Error(error)
         finally:
-            self.router.release(credit, given_up=given_up)
+            self.router.release(credit, abandoned=abandoned)
 
     def _recheck(self, call: Call) -> Failure | None:
         """Checks again what may have changed while the request waited or this process was frozen."""
--- a/src/hyssopway/routing/__init__.py
+++ b/src/hyssopway/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing of requests to endpoints by slot credits."""
+"""Routes requests to endpoints by credit-based flow control over their slots."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/routing/fairness.py
+++ b/src/hyssopway/routing/fairness.py
@@ -1,4 +1,4 @@
-"""Divides slots between daemons that are all short of them."""
+"""Divides slots between daemons whose total demand exceeds them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
     """Divides slots by max-min fairness.
 
     Args:
-        demands: Slots that each daemon could use.
-        slots: Slots to divide.
+        demands: Number of slots that each daemon can use.
+        slots: Number of slots to divide.
 
     Returns:
-        Slots for each daemon; nobody gets more than it could use, and what it leaves goes to the others.
+        Number of slots per daemon. No daemon gets more than its demand; unused shares go to the others.
     """
     shares: dict[str, int] = {}
     left = slots
     for position, (daemon, demand) in enumerate(sorted(demands.items(), key=lambda item: (item[1], item[0]))):
-        # The remainder goes to the last ones, so that the sum is exactly the number of slots.
+        # The daemons with the largest demands get the remainder, so the sum equals the number of slots unless
+        # the demands are smaller.
         shares[daemon] = min(demand, left // (len(demands) - position))
         left -= shares[daemon]
     return shares
--- a/src/hyssopway/routing/grant.py
+++ b/src/hyssopway/routing/grant.py
@@ -1,4 +1,4 @@
-"""A credit at its home."""
+"""Issuer's record of a slot credit."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True, kw_only=True)
 class Grant:
-    """A credit that was handed out.
+    """A credit that a home has issued to a daemon.
 
     Attributes:
-        endpoint: Endpoint.
-        address: Base URL of the endpoint when it was handed out.
-        service: Environment and service.
+        endpoint: Name of the endpoint.
+        address: Base URL of the endpoint at the time of issue.
+        service: Environment and name of the service.
         daemon: Daemon that holds the credit.
-        expires_at: Local time at which it surely is no longer used.
-        vm: VM of the endpoint; kept here because a departing endpoint leaves the registry first.
+        expires_at: Local time in seconds after which the holder no longer uses it.
+        vm: VM of the endpoint; stored here because a departing endpoint is removed from the registry first.
     """
 
     endpoint: str
--- a/src/hyssopway/routing/held_credit.py
+++ b/src/hyssopway/routing/held_credit.py
@@ -1,4 +1,4 @@
-"""A credit at the daemon that holds it."""
+"""Holder's record of a slot credit."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class HeldCredit:
-    """A credit and the daemon that handed it out.
+    """A credit that this daemon holds.
 
     Attributes:
-        home: Daemon that handed it out, or that took over the endpoint since.
+        home: Daemon that issued it, or the endpoint's present home if that has changed.
         credit: The credit.
-        expires_at: Local time at which the lease ends.
-        taken_at: Local time at which the request in progress took it.
-        recalled: Whether it must not be used for another request.
+        expires_at: Local time in seconds at which the lease expires.
+        taken_at: Local time in seconds at which the current request acquired it.
+        recalled: Whether it must be returned after the current request.
     """
 
     home: str
--- a/src/hyssopway/routing/held_credit_collector.py
+++ b/src/hyssopway/routing/held_credit_collector.py
@@ -1,4 +1,4 @@
-"""Collects the credits still held for an endpoint that announces itself to a new home."""
+"""Collects the outstanding credits of an endpoint that announces itself to a new home."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 GRANTS_TOPIC = "endpoint_grants"
 CALL_TIMEOUT_S = 0.5
-PAUSE_S = 0.25
-# A home that is cut off from this daemon may hand out credits until the endpoint's lease there ends,
-# and those are valid for one lease more.
-BLOCKED_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
+RETRY_PAUSE_S = 0.25
+# A partitioned former home may issue credits until the endpoint's lease there expires, and these credits
+# are valid for one more credit lease.
+MAX_BLOCK_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
 
 
 class HeldCreditCollector:
-    """Keeps the sum of credits within the slots when an endpoint changes its home.
+    """Keeps the number of credits within the number of slots when an endpoint changes its home.
 
     Attributes:
         own_name: Name of this daemon.
         ledger: Credits of endpoints whose home is this daemon.
-        router: Credits held by this daemon.
+        router: Router with the credits held by this daemon.
         peers: Clients of the other daemons.
         others: Names of the other daemons.
-        near: Those of them in the own zone; only they can have been home of an endpoint here.
-        started_at: Local time at which this process began; it does not know earlier credits of its own.
+        own_zone: Names of the other daemons in the same zone; only these can be a former home of an endpoint.
+        started_at: Local time in seconds of the process start; credits issued before it are unknown here.
         tasks: Collections in progress.
     """
 
@@ -64,53 +64,57 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def start(self, endpoint: Endpoint) -> None:
-        """Blocks an endpoint that is new here until all daemons answered or their leases ended."""
-        endpoint.blocked_until = self.ledger.clock() + BLOCKED_S
+        """Blocks a newly announced endpoint until all daemons have answered or their leases have expired."""
+        endpoint.blocked_until = self.ledger.clock() + MAX_BLOCK_S
         task = asyncio.create_task(self.collect(endpoint))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def collect(self, endpoint: Endpoint) -> None:
-        """Asks every daemon until it answers or its leases ended."""
+        """Adopts the credits held by each daemon, and retries until all answer or their leases have expired."""
         held = self.router.reassign_home(endpoint=endpoint.name, home=self.own_name)
         self.ledger.adopt(held, daemon=self.own_name)
         missing = list(self.others)
         while missing and self.ledger.clock() < endpoint.blocked_until:
-            answers = await asyncio.gather(*(self._ask(name, endpoint=endpoint.name) for name in missing))
+            answers = await asyncio.gather(
+                *(self._fetch_held_credits(name, endpoint=endpoint.name) for name in missing)
+            )
             for name, answer in zip(missing, answers, strict=True):
                 if answer is not None:
                     self.ledger.adopt(answer, daemon=name)
             missing = [name for name, answer in zip(missing, answers, strict=True) if answer is None]
-            missing = await self._select_holders(missing, endpoint=endpoint.name)
+            missing = await self._filter_possible_holders(missing, endpoint=endpoint.name)
             if missing:
-                await asyncio.sleep(PAUSE_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
         if missing:
             log_event(Event.HOLDERS_SILENT, endpoint=endpoint.name, daemons=", ".join(missing))
         endpoint.blocked_until = 0.0
 
     def report_grants(self, endpoint: str) -> dict[str, Any]:
-        """Returns which daemons hold credits that this one handed out, and how long it has known."""
+        """Returns the daemons that hold credits issued here for an endpoint, and the uptime in seconds."""
         now = self.ledger.clock()
         grants = self.ledger.grants.values()
         holders = {item.daemon for item in grants if item.endpoint == endpoint and item.expires_at > now}
         return {"holders": sorted(holders), "uptime_s": now - self.started_at}
 
-    async def _select_holders(self, silent: list[str], *, endpoint: str) -> list[str]:
-        """Returns the silent daemons that may hold a credit.
+    async def _filter_possible_holders(self, unreachable: list[str], *, endpoint: str) -> list[str]:
+        """Returns the unreachable daemons that may hold a credit.
 
-        Silence alone proves nothing: a daemon that is cut off from here may be the endpoint's earlier home
-        or in contact with it. A daemon of another zone got its credits from a home of this zone, and each
-        of those knows what it handed out.
+        A daemon that is partitioned from this one may be the former home of the endpoint or in contact with
+        it, so being unreachable doesn't show that it holds no credit. A daemon in another zone received its
+        credits from a home in this zone, and each home knows which credits it issued.
         """
-        if not silent or any(name in self.own_zone for name in silent):
-            return silent
-        answers = await asyncio.gather(*(self._ask_grants(name, endpoint=endpoint) for name in self.own_zone))
+        if not unreachable or any(name in self.own_zone for name in unreachable):
+            return unreachable
+        answers = await asyncio.gather(
+            *(self._fetch_grants(name, endpoint=endpoint) for name in self.own_zone)
+        )
         known = [answer for answer in (*answers, self.report_grants(endpoint)) if answer is not None]
-        if len(known) <= len(self.own_zone) or any(answer["uptime_s"] < BLOCKED_S for answer in known):
-            return silent
-        return [name for name in silent if any(name in answer["holders"] for answer in known)]
+        if len(known) <= len(self.own_zone) or any(answer["uptime_s"] < MAX_BLOCK_S for answer in known):
+            return unreachable
+        return [name for name in unreachable if any(name in answer["holders"] for answer in known)]
 
-    async def _ask_grants(self, name: str, *, endpoint: str) -> dict[str, Any] | None:
+    async def _fetch_grants(self, name: str, *, endpoint: str) -> dict[str, Any] | None:
         try:
             data = await self.peers.client(name).exchange(
                 topic=GRANTS_TOPIC, data=to_json(endpoint), timeout_s=CALL_TIMEOUT_S
@@ -120,11 +124,11 @@
         answer: dict[str, Any] = from_json(data)
         return answer
 
-    async def _ask(self, name: str, *, endpoint: str) -> list[Credit] | None:
+    async def _fetch_held_credits(self, name: str, *, endpoint: str) -> list[Credit] | None:
         try:
             return await self.peers.client(name).held_credits(endpoint=endpoint, timeout_s=CALL_TIMEOUT_S)
         except PeerUnreachableError:
             return None
 
 
-__all__ = ["BLOCKED_S", "GRANTS_TOPIC", "HeldCreditCollector"]
+__all__ = ["GRANTS_TOPIC", "MAX_BLOCK_S", "HeldCreditCollector"]
--- a/src/hyssopway/routing/home_directory.py
+++ b/src/hyssopway/routing/home_directory.py
@@ -1,4 +1,4 @@
-"""Homes of endpoints: what is known of them and the way to ask them."""
+"""Service summaries of the homes of endpoints, and credit requests to them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from hyssopway.peer import PeerUnreachableError
 
-from .summary import Summary
+from .service_summary import ServiceSummary
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -21,44 +21,44 @@
     from .ledger import CreditLedger
 
 SUMMARY_TOPIC = "routing"
-EXCHANGE_S = 0.5
-# Four missed exchanges.
+POLL_INTERVAL_S = 0.5
+# Four missed polls.
 SUMMARY_VALID_S = 2.0
 CALL_TIMEOUT_S = 0.5
-FIRST_WAY_S = 0.002
-SMOOTHING = 0.1
+INITIAL_RTT_S = 0.002
+EWMA_WEIGHT = 0.1
 
-_SUMMARIES = TypeAdapter(list[Summary])
+_SUMMARIES = TypeAdapter(list[ServiceSummary])
 
 
 @dataclass(slots=True, kw_only=True)
 class Home:
-    """What is known of another daemon.
+    """State of another daemon that can be the home of endpoints.
 
     Attributes:
-        name: Name.
-        near: Whether it is in the own zone.
-        summaries: Its services by environment and name.
-        heard_at: Local time at which the summaries were asked for.
-        way_s: Mean time of a call.
+        name: Name of the daemon.
+        near: Whether it is in the same zone as this daemon.
+        summaries: Summaries of its services by environment and name.
+        heard_at: Local time in seconds at which the latest summaries were requested.
+        way_s: Moving average of the round-trip time in seconds.
     """
 
     name: str
     near: bool
-    summaries: dict[tuple[str, str], Summary] = field(default_factory=dict)
+    summaries: dict[tuple[str, str], ServiceSummary] = field(default_factory=dict)
     heard_at: float = float("-inf")
-    way_s: float = FIRST_WAY_S
+    way_s: float = INITIAL_RTT_S
 
 
 class HomeDirectory:
-    """Homes that endpoints may have announced to.
+    """Polls the service summaries of the other homes and requests credits from homes.
 
     Attributes:
         own_name: Name of this daemon.
         ledger: Credits of endpoints whose home is this daemon.
         peers: Clients of the other daemons.
-        others: The other daemons.
-        summarise: Returns the own summaries.
+        others: State of the other daemons by name.
+        summarise: Returns the summaries of this daemon's services.
     """
 
     __slots__ = ("clock", "ledger", "others", "own_name", "peers", "summarise")
@@ -77,24 +77,24 @@
         self.peers = peers
         self.others = {name: Home(name=name, near=near) for name, near in others.items()}
         self.clock = clock
-        self.summarise: Callable[[], list[Summary]] = list
+        self.summarise: Callable[[], list[ServiceSummary]] = list
 
     async def request_credits(self, *, home: str, request: CreditRequest) -> CreditReply:
-        """Asks a home for credits.
+        """Requests credits from a home; this daemon's own ledger is called directly.
 
         Raises:
-            PeerUnreachableError: The home did not answer in time.
+            PeerUnreachableError: The home didn't answer within 0.5 s.
         """
         if home == self.own_name:
             return self.ledger.handle_request(request)
         started = self.clock()
         reply = await self.peers.client(home).credits(request=request, timeout_s=CALL_TIMEOUT_S)
-        known = self.others[home]
-        known.way_s += SMOOTHING * (self.clock() - started - known.way_s)
+        peer_home = self.others[home]
+        peer_home.way_s += EWMA_WEIGHT * (self.clock() - started - peer_home.way_s)
         return reply
 
-    def known(self, service: tuple[str, str], *, near: bool) -> list[Home]:
-        """Returns the other homes that have endpoints of a service."""
+    def find_homes(self, service: tuple[str, str], *, near: bool) -> list[Home]:
+        """Returns the other homes in this zone (`near`) or in other zones that have endpoints of a service."""
         oldest = self.clock() - SUMMARY_VALID_S
         return [
             home
@@ -102,24 +102,26 @@
             if home.near == near and home.heard_at > oldest and service in home.summaries
         ]
 
-    def slots(self, service: tuple[str, str]) -> int:
-        """Returns the slots of a service at all known homes."""
+    def count_slots(self, service: tuple[str, str]) -> int:
+        """Returns the number of slots of a service at this daemon and all known homes."""
         own = self.ledger.registry.serving(environment=service[0], service=service[1])
         return sum(endpoint.announcement.slots for endpoint in own) + sum(
-            home.summaries[service].slots for near in (True, False) for home in self.known(service, near=near)
+            home.summaries[service].slots
+            for near in (True, False)
+            for home in self.find_homes(service, near=near)
         )
 
-    def handle_exchange(self, _: object) -> list[Summary]:
-        """Answers an exchange."""
+    def handle_exchange(self, _: object) -> list[ServiceSummary]:
+        """Returns this daemon's summaries to a peer that polls them."""
         return self.summarise()
 
     async def run(self) -> None:
-        """Asks all other daemons for their summaries again and again."""
+        """Polls the summaries of all other daemons periodically, until cancelled."""
         while True:
-            await asyncio.gather(*(self._exchange(home) for home in self.others.values()))
-            await asyncio.sleep(EXCHANGE_S)
+            await asyncio.gather(*(self._fetch_summaries(home) for home in self.others.values()))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _exchange(self, home: Home) -> None:
+    async def _fetch_summaries(self, home: Home) -> None:
         started = self.clock()
         try:
             data = await self.peers.client(home.name).exchange(
--- a/src/hyssopway/routing/router.py
+++ b/src/hyssopway/routing/router.py
@@ -1,4 +1,4 @@
-"""Finds a slot on an endpoint for a request."""
+"""Acquires slots on endpoints for requests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .service_queue import ServiceQueue
-from .summary import Summary
+from .service_summary import ServiceSummary
 
 if TYPE_CHECKING:
     from expression import Result
@@ -19,20 +19,20 @@
     from .held_credit import HeldCredit
     from .home_directory import HomeDirectory
 
-MAINTAIN_S = 0.1
-# The endpoint learns from the closed connection that a request was given up; its slot is used again only
-# after this time.
-SETTLE_S = 0.05
-FORGET_HEALTH_S = 60.0
+REFRESH_INTERVAL_S = 0.1
+# An endpoint learns from the closed connection that a request was abandoned. Its slot is reused only after
+# this delay.
+ABANDONED_RELEASE_DELAY_S = 0.05
+HEALTH_RETENTION_S = 60.0
 
 
 class Router:
-    """Slot credits held by this daemon.
+    """Assigns slot credits held by this daemon to requests.
 
     Attributes:
-        homes: Homes of endpoints.
-        health: Outcomes of requests sent from here.
-        queues: Credits and waiting requests by environment and service.
+        homes: Directory of the homes of endpoints.
+        health: Health of endpoints, from the outcomes of requests sent by this daemon.
+        queues: Queues of credits and waiting requests, by environment and service.
     """
 
     __slots__ = ("clock", "health", "homes", "queues")
@@ -53,25 +53,25 @@
         queue_limit: int = 1000,
         avoided: frozenset[str] = frozenset(),
     ) -> Result[HeldCredit, Failure]:
-        """Waits for a slot until a local time; refuses at once what cannot be done by then."""
+        """Waits for a slot until `deadline` (local time in seconds); fails at once if none is expected by then."""
         queue = self._queue((environment, service))
         return await queue.acquire(deadline=deadline, queue_limit=queue_limit, avoided=avoided)
 
-    def release(self, held: HeldCredit, *, given_up: bool = False) -> None:
-        """Takes a credit back once its request has ended.
+    def release(self, held: HeldCredit, *, abandoned: bool = False) -> None:
+        """Releases a credit after its request has ended.
 
         Args:
-            held: The credit.
-            given_up: Whether the endpoint may still be at work on the request.
+            held: Credit to release.
+            abandoned: Whether the endpoint may still be processing the request.
         """
         queue = self._queue((held.credit.environment, held.credit.service))
-        if given_up:
-            asyncio.get_running_loop().call_later(SETTLE_S, queue.release, held)
+        if abandoned:
+            asyncio.get_running_loop().call_later(ABANDONED_RELEASE_DELAY_S, queue.release, held)
         else:
             queue.release(held)
 
     def reassign_home(self, *, endpoint: str, home: str) -> list[Credit]:
-        """Returns the credits held for an endpoint that announced itself to a new home."""
+        """Records the new home of an endpoint and returns the credits held for the endpoint."""
         if home != self.homes.own_name:
             self.homes.ledger.registry.leave(name=endpoint, reason=f"moved to {home}")
         found = [
@@ -82,7 +82,7 @@
         return [held.credit for held in found]
 
     def count_credits_on(self, vm: str) -> int:
-        """Returns the credits that have or may get a request from here on endpoints of a VM."""
+        """Returns the number of credits on endpoints of a VM that are in use or unexpired."""
         now = self.clock()
         return sum(
             held.credit.vm == vm
@@ -90,8 +90,8 @@
             for held in (*queue.in_use, *(idle for idle in queue.idle if idle.expires_at > now))
         )
 
-    def summarise(self) -> list[Summary]:
-        """Returns what other daemons need to know of the endpoints announced here."""
+    def summarise(self) -> list[ServiceSummary]:
+        """Returns summaries of the services whose endpoints are announced here."""
         registry = self.homes.ledger.registry
         services = {
             (endpoint.announcement.environment, endpoint.announcement.service)
@@ -104,17 +104,17 @@
         return {"/".join(service): queue.dump() for service, queue in self.queues.items()}
 
     async def run(self) -> None:
-        """Renews and returns credits again and again."""
+        """Renews and returns credits periodically, until cancelled."""
         while True:
-            await asyncio.gather(*(queue.maintain() for queue in self.queues.values()))
-            self.health.forget(unseen_s=FORGET_HEALTH_S)
-            await asyncio.sleep(MAINTAIN_S)
+            await asyncio.gather(*(queue.refresh_credits() for queue in self.queues.values()))
+            self.health.forget(unseen_s=HEALTH_RETENTION_S)
+            await asyncio.sleep(REFRESH_INTERVAL_S)
 
     def close(self) -> None:
-        """Ends the refill tasks."""
+        """Cancels the refill tasks."""
         for queue in self.queues.values():
-            if queue.refilling is not None:
-                queue.refilling.cancel()
+            if queue.refill_task is not None:
+                queue.refill_task.cancel()
 
     def _queue(self, service: tuple[str, str]) -> ServiceQueue:
         queue = self.queues.get(service)
@@ -124,17 +124,17 @@
             )
         return queue
 
-    def _summary(self, service: tuple[str, str]) -> Summary:
+    def _summary(self, service: tuple[str, str]) -> ServiceSummary:
         ledger = self.homes.ledger
         endpoints = ledger.registry.serving(environment=service[0], service=service[1])
         queue = self.queues.get(service)
-        return Summary(
+        return ServiceSummary(
             environment=service[0],
             service=service[1],
             slots=sum(endpoint.announcement.slots for endpoint in endpoints),
             free=sum(ledger.free(endpoint) for endpoint in endpoints),
             waiting=len(queue.waiting) if queue else 0,
-            service_s=queue.drain.service_s if queue else 0.0,
+            service_s=queue.throughput.service_s if queue else 0.0,
         )
 
 
--- a/src/hyssopway/routing/waiter.py
+++ b/src/hyssopway/routing/waiter.py
@@ -1,4 +1,4 @@
-"""A request that waits for a slot."""
+"""Queue entry of a request that waits for a slot."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Waiter:
-    """A place in a queue.
+    """A request that waits for a credit.
 
     Attributes:
-        future: Receives the credit.
-        give_up_at: Local time after which the request can no longer be done.
-        avoided: Endpoints that failed an earlier try of the request.
+        future: Resolves to the credit.
+        give_up_at: Local time in seconds after which too little time remains to serve the request.
+        avoided: Endpoints that failed an earlier attempt of the request.
     """
 
     future: asyncio.Future[HeldCredit]
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes for credits without processes."""
+"""Fixtures for routing with several daemons in one process."""
 
 from __future__ import annotations
 
@@ -15,58 +15,58 @@
 
 @dataclass(slots=True)
 class ManualClock:
-    """Time that moves only when a test says so."""
+    """Clock that tests advance explicitly."""
 
     now: float = 1000.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the time in seconds."""
         return self.now
 
 
 @dataclass(slots=True)
 class FakePeers:
-    """Other daemons of one process, by name; those in `silent` do not answer."""
+    """Peer directory for daemons in this process; calls to those in `unreachable` fail."""
 
     daemons: dict[str, Entry] = field(default_factory=dict)
-    silent: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     calls: int = 0
     caller: str = ""
 
     def client(self, name: str) -> FakeClient:
-        """Returns a client of a daemon."""
+        """Returns a client for a daemon."""
         return FakeClient(peers=self, name=name)
 
 
 @dataclass(slots=True)
 class FakeClient:
-    """Calls of one daemon to another."""
+    """Client that calls another daemon directly."""
 
     peers: FakePeers
     name: str
 
     def _target(self) -> Entry:
         self.peers.calls += 1
-        if self.name in self.peers.silent:
-            raise PeerUnreachableError(f"{self.name} is silent")
+        if self.name in self.peers.unreachable:
+            raise PeerUnreachableError(f"{self.name} is unreachable")
         return self.peers.daemons[self.name]
 
     async def credits(self, *, request, timeout_s):
-        """Asks for credits."""
+        """Requests credits from the daemon's ledger."""
         return self._target().ledger.handle_request(request)
 
     async def held_credits(self, *, endpoint, timeout_s):
-        """Asks for credits held."""
+        """Returns the credits that the daemon holds for an endpoint."""
         return self._target().router.reassign_home(endpoint=endpoint, home=self.peers.caller)
 
     async def exchange(self, *, topic, data, timeout_s):
-        """Asks for the credits that the daemon handed out."""
+        """Returns the holders of credits that the daemon issued."""
         return to_json(self._target().collector.report_grants(from_json(data)))
 
 
 @dataclass(slots=True)
 class Entry:
-    """The parts of one daemon that route."""
+    """Routing components of one daemon."""
 
     name: str
     registry: EndpointRegistry
@@ -77,7 +77,7 @@
     collector: HeldCreditCollector
 
     def announce(self, name: str, *, age_s: float = 10.0, **fields) -> None:
-        """Announces an endpoint that is past its slow start."""
+        """Announces an endpoint; the default age is beyond its slow start."""
         announcement = Announcement(service="plan", address=f"http://{name}:1", **fields)
         endpoint = self.registry.announce(name=name, announcement=announcement)
         endpoint.announced_at -= age_s
@@ -95,7 +95,7 @@
 
 @pytest.fixture
 def make_entry(peers: FakePeers, clock: ManualClock):
-    """Makes an entry daemon whose homes are all others made so far, in the same zone if `near`."""
+    """Makes an entry daemon that knows all daemons made before it; they share its zone if `near`."""
 
     def make(name: str, *, near: bool = True, entries: int = 6) -> Entry:
         registry = EndpointRegistry(clock=clock)
@@ -120,13 +120,13 @@
 
 
 @pytest.fixture
-def learn(peers: FakePeers, clock: ManualClock):
-    """Lets an entry know the summaries of all others."""
+def share_summaries(peers: FakePeers, clock: ManualClock):
+    """Gives an entry the summaries of all other daemons."""
 
-    def learn_all(entry: Entry) -> None:
+    def share_all(entry: Entry) -> None:
         for home in entry.homes.others.values():
             summaries = peers.daemons[home.name].router.summarise()
             home.summaries = {(item.environment, item.service): item for item in summaries}
             home.heard_at = clock()
 
-    return learn_all
+    return share_all
