--- a/src/hyssopway/gateway/__init__.py
+++ b/src/hyssopway/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers."""
+"""HTTP gateway between callers and endpoints."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/gateway/try_failed.py
+++ b/src/hyssopway/gateway/attempt_failed.py
@@ -1,4 +1,4 @@
-"""A try that gave no answer which may be passed on."""
+"""Failure of one attempt of a request."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
     from hyssopway.result import Failure
 
 
-class TryFailedError(Exception):
-    """One try at one endpoint failed before the caller got the first byte.
+class AttemptFailedError(Exception):
+    """An attempt at one endpoint ended without a completely relayed response.
 
     Attributes:
-        failure: Answer to the caller if this is the last try.
-        retry: Whether another endpoint may do better.
-        endpoint_failed: Whether the endpoint is to blame.
+        failure: Failure to report to the caller if this is the last attempt.
+        retry: Whether another endpoint may succeed.
+        endpoint_failed: Whether the failure counts against the endpoint's health.
     """
 
     def __init__(self, failure: Failure, *, retry: bool = True, endpoint_failed: bool = True) -> None:
@@ -24,4 +24,4 @@
         self.endpoint_failed = endpoint_failed
 
 
-__all__ = ["TryFailedError"]
+__all__ = ["AttemptFailedError"]
--- a/src/hyssopway/gateway/call.py
+++ b/src/hyssopway/gateway/call.py
@@ -1,4 +1,4 @@
-"""A request that was admitted."""
+"""State of an admitted request."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 @dataclass(slots=True, kw_only=True, eq=False)
 class Call:
-    """A request on its way to an endpoint.
+    """An admitted request and the state of its attempts.
 
     Attributes:
-        request: Request of the caller.
-        service: Service that it is for.
-        environment: Environment.
-        team: Team of its key; empty without.
-        deadline: Local time by which the caller needs the answer.
-        body: Its body.
-        record: Decisions about it, for operators.
+        request: HTTP request of the caller.
+        service: Requested service, as defined in the document.
+        environment: Name of the environment.
+        team: Team of the request's key; empty without a key.
+        deadline: Local time in seconds by which the caller needs the response.
+        body: Request body.
+        record: Record of the request for operators.
         claim: Claim of a non-idempotent request.
-        sending: Whether bytes of the present try went to an endpoint.
-        earlier: Failure of the first try that may have run.
-        answering: Whether the caller has got the first byte of an answer.
-        tried: Endpoints that failed an earlier try.
-        caller_gone: Whether the caller's connection broke while it got the answer.
+        sending: Whether bytes of the current attempt were sent to an endpoint.
+        earlier: Failure of the first attempt that may have run.
+        answering: Whether a response is being streamed to the caller.
+        tried: Endpoints that failed an earlier attempt.
+        caller_gone: Whether the caller disconnected or stopped reading during the response.
     """
 
     request: Any
@@ -46,15 +46,15 @@
     caller_gone: bool = False
     tried: frozenset[str] = frozenset()
 
-    def final(self, failure: Failure) -> Failure:
-        """Returns the failure that the caller gets after the last try.
+    def final_failure(self, failure: Failure) -> Failure:
+        """Returns the failure to report to the caller after the last attempt.
 
-        When a further try could not be made, what went wrong at the endpoint says more than the refusal of
-        that try, and the request may have run.
+        If a further attempt was rejected before it ran, the earlier failure at the endpoint is reported,
+        because it is more informative and the request may have run.
         """
         if self.earlier is None or failure.work is not WorkState.NOT_RUN:
             return failure
-        return replace(self.earlier, message=f"{self.earlier.message}; no further try: {failure.message}")
+        return replace(self.earlier, message=f"{self.earlier.message}; not retried: {failure.message}")
 
 
 __all__ = ["Call"]
--- a/src/hyssopway/gateway/gateway.py
+++ b/src/hyssopway/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Serves callers: one request in, one whole answer out."""
+"""Admits requests of callers and forwards them to endpoints."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from hyssopway.key import check_key
 from hyssopway.result import Failure, ResultCode, WorkState
 
-from .body_memory import BodyMemory
+from .attempt_failed import AttemptFailedError
+from .body_memory_budget import BodyMemoryBudget
 from .call import Call
 from .claims import HeldClaim
 from .headers import ENVIRONMENT_HEADER, IDEMPOTENCY_HEADER, TIMEOUT_HEADER
 from .request_body import BodyError, RequestBody
 from .request_records import RequestRecord, RequestRecords
 from .retry_budget import RetryBudget
-from .try_failed import TryFailedError
 
 if TYPE_CHECKING:
     from hyssopway.clock import Clock
@@ -35,41 +35,42 @@
 
     from .forwarder import Forwarder
 
-# Bodies up to this size are kept for a retry; the rest of larger ones is streamed.
+# Bodies up to this size are buffered for retries; the rest of a larger body is streamed.
 BUFFERED_BODY_BYTES = 64 * 1024
 MAX_IDEMPOTENCY_KEY = 256
 IDLE_POLL_S = 0.05
-_FAILED = "failed with "
+_FAILURE_PREFIX = "failed with "
 _NO_TEAM: Result[str, Failure] = Ok("")
 
 
 class Gateway:
-    """Admits requests, finds a slot and passes request and answer through.
+    """Admits requests, acquires slots, forwards requests and retries failed attempts.
 
     Attributes:
-        replica: Agreed state.
-        freshness: Whether keys can be confirmed.
-        router: Slots of endpoints.
-        forwarder: Makes one try at an endpoint.
-        metrics: Latencies and counts.
-        max_body_bytes: Largest request body accepted.
-        budget: Retries that may still be made.
-        open_requests: Requests in progress.
-        records: What became of the last requests.
-        memory: Memory of request bodies.
+        replica: Replica of the replicated state.
+        freshness: Freshness of the replica, which decides whether keys can be confirmed.
+        router: Assigns slots of endpoints.
+        forwarder: Sends one attempt to an endpoint.
+        metrics: Latencies and counters.
+        max_body_bytes: Maximum size of a request body in bytes.
+        retry_budget: Limits retries relative to successes.
+        open_requests: Number of requests in progress.
+        records: History of recent requests.
+        body_memory: Memory shared by all request bodies.
+        tasks: Non-idempotent requests in progress.
     """
 
     __slots__ = (
-        "budget",
+        "body_memory",
         "clock",
         "forwarder",
         "freshness",
         "max_body_bytes",
-        "memory",
         "metrics",
         "open_requests",
         "records",
         "replica",
+        "retry_budget",
         "router",
         "tasks",
     )
@@ -92,37 +93,37 @@
         self.metrics = metrics
         self.max_body_bytes = max_body_bytes
         self.clock = clock
-        self.budget = RetryBudget()
+        self.retry_budget = RetryBudget()
         self.open_requests = 0
         self.records = RequestRecords()
-        self.memory = BodyMemory()
+        self.body_memory = BodyMemoryBudget()
         self.tasks: set[asyncio.Task[web.StreamResponse]] = set()
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the callers' routes."""
+        """Adds the routes for callers."""
         app.router.add_route("*", "/call/{service}", self.handle)
         app.router.add_route("*", "/call/{service}/{path:.*}", self.handle)
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Serves one request."""
+        """Handles one request."""
         started = self.clock()
         self.open_requests += 1
         request_id = _idempotency_key(request)[:MAX_IDEMPOTENCY_KEY]
         record = RequestRecord(request_id=request_id, service=request.match_info["service"])
         self.records.add(record)
         try:
-            answer = await self._serve(request, record=record)
-            if not record.outcome.startswith(_FAILED):
-                record.outcome = str(answer.status)
+            response = await self._serve(request, record=record)
+            if not record.outcome.startswith(_FAILURE_PREFIX):
+                record.outcome = str(response.status)
         finally:
             self.open_requests -= 1
             record.took_s = self.clock() - started
         self.metrics.record("request", seconds=self.clock() - started)
-        return answer
+        return response
 
     async def wait_idle(self) -> None:
         """Waits until no request is in progress; each ends by its deadline."""
-        while self.open_requests:  # noqa: ASYNC110  a stop is rare, and an event would burden each request
+        while self.open_requests:  # noqa: ASYNC110  shutdown is rare; an event would cost time on each request
             await asyncio.sleep(IDLE_POLL_S)
 
     async def _serve(self, request: web.Request, *, record: RequestRecord) -> web.StreamResponse:
@@ -130,16 +131,16 @@
             case Result(tag="ok", ok=call):
                 pass
             case Result(error=failure):
-                return self._refuse(record, failure)
+                return self._reject(record, failure)
         idempotent = call.service.idempotent
         detached = False
         try:
-            await call.body.read_start(up_to=BUFFERED_BODY_BYTES if idempotent else self.max_body_bytes)
+            await call.body.read_prefix(up_to=BUFFERED_BODY_BYTES if idempotent else self.max_body_bytes)
             if idempotent:
                 return await self._run(call)
             detached = True
         except BodyError as error:
-            return self._refuse(record, error.failure)
+            return self._reject(record, error.failure)
         finally:
             if not detached:
                 call.body.release()
@@ -177,7 +178,7 @@
             limit=self.max_body_bytes,
             deadline=deadline,
             clock=self.clock,
-            memory=self.memory,
+            memory_budget=self.body_memory,
         )
         return Ok(
             Call(
@@ -198,7 +199,7 @@
         return checked.map(lambda key: key.team)
 
     async def _run_detached(self, call: Call) -> web.StreamResponse:
-        """Runs a non-idempotent request to its end even if the caller hangs up after it was sent."""
+        """Completes a non-idempotent request even if the caller disconnects after the request was sent."""
         task = asyncio.create_task(self._run_once(call))
         self.tasks.add(task)
         task.add_done_callback(self._end_detached)
@@ -213,12 +214,12 @@
     def _end_detached(self, task: asyncio.Task[web.StreamResponse]) -> None:
         self.tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # the handler raises it, or its caller has hung up
+            task.exception()  # retrieved here to silence asyncio; raised by the handler unless the caller disconnected
 
     async def _run_once(self, call: Call) -> web.StreamResponse:
         request = call.request
-        # Method, path and body, so that an idempotency key cannot stand for two requests.
-        parts = (request.method.encode(), request.raw_path.encode(), call.body.start)
+        # Covers method, path and body, so that one idempotency key can't be used for two different requests.
+        parts = (request.method.encode(), request.raw_path.encode(), call.body.prefix)
         claimed = await self.forwarder.claims.claim(
             environment=call.environment,
             service=call.service,
@@ -229,29 +230,29 @@
         )
         match claimed:
             case Result(tag="ok", ok=Claim() as stored):
-                return _stored_answer(stored)
+                return _stored_response(stored)
             case Result(tag="ok", ok=HeldClaim() as held):
                 call.claim = held
                 return await self._run(call)
             case Result(error=failure):
-                return self._refuse(call.record, failure)
-        raise AssertionError("a claim is held, stored or refused")
+                return self._reject(call.record, failure)
+        raise AssertionError("unexpected result of a claim request")
 
     async def _run(self, call: Call) -> web.StreamResponse:
         try:
             while True:
-                match await self._try(call):
-                    case Result(tag="ok", ok=answer):
-                        return answer
-                    case Result(error=TryFailedError() as failed):
+                match await self._attempt(call):
+                    case Result(tag="ok", ok=response):
+                        return response
+                    case Result(error=AttemptFailedError() as failed):
                         if not self._may_retry(call, failed=failed):
-                            return self._give_up(call, failure=failed.failure)
+                            return self._fail(call, failure=failed.failure)
                         self.metrics.count("retries")
         except asyncio.CancelledError:
             self._release_claim(call)
             raise
 
-    async def _try(self, call: Call) -> Result[web.StreamResponse, TryFailedError]:
+    async def _attempt(self, call: Call) -> Result[web.StreamResponse, AttemptFailedError]:
         started = self.clock()
         acquired = await self.router.acquire(
             environment=call.environment,
@@ -265,26 +266,28 @@
             case Result(tag="ok", ok=credit):
                 pass
             case Result(error=failure):
-                return Error(TryFailedError(failure, retry=False, endpoint_failed=False))
+                return Error(AttemptFailedError(failure, retry=False, endpoint_failed=False))
         refused = self._recheck(call)
         if refused is not None:
             self.router.release(credit)
-            return Error(TryFailedError(refused, retry=False, endpoint_failed=False))
+            return Error(AttemptFailedError(refused, retry=False, endpoint_failed=False))
         return await self._send(call, credit=credit)
 
-    async def _send(self, call: Call, *, credit: HeldCredit) -> Result[web.StreamResponse, TryFailedError]:
+    async def _send(
+        self, call: Call, *, credit: HeldCredit
+    ) -> Result[web.StreamResponse, AttemptFailedError]:
         abandoned = True
         started = self.clock()
         service = (call.environment, call.service.name)
         call.record.endpoints.append(credit.credit.endpoint)
         try:
-            answer = await self.forwarder.send(call, credit=credit)
+            response = await self.forwarder.send(call, credit=credit)
             abandoned = False
-            self.budget.succeeded()
+            self.retry_budget.record_success()
             seconds = self.clock() - started
             self.router.health.succeeded(credit.credit.endpoint, service=service, seconds=seconds)
-            return Ok(answer)
-        except TryFailedError as error:
+            return Ok(response)
+        except AttemptFailedError as error:
             abandoned = call.sending
             call.tried |= {credit.credit.endpoint}
             if call.earlier is None and error.failure.work is not WorkState.NOT_RUN:
@@ -296,7 +299,7 @@
             self.router.release(credit, abandoned=abandoned)
 
     def _recheck(self, call: Call) -> Failure | None:
-        """Checks again what may have changed while the request waited or this process was frozen."""
+        """Rechecks deadline and key, which can lapse while the request waits or the process is suspended."""
         if call.deadline <= self.clock():
             message = "the deadline of the request passed before it was sent to an endpoint"
             return Failure(code=ResultCode.DEADLINE_EXCEEDED, message=message)
@@ -305,23 +308,23 @@
         checked = self._check_key(call.request, service=call.service)
         return checked.error if checked.is_error() else None
 
-    def _may_retry(self, call: Call, *, failed: TryFailedError) -> bool:
-        surely_not_run = failed.failure.work is WorkState.NOT_RUN
+    def _may_retry(self, call: Call, *, failed: AttemptFailedError) -> bool:
+        known_not_run = failed.failure.work is WorkState.NOT_RUN
         return (
             failed.retry
-            and (surely_not_run or call.service.idempotent)
+            and (known_not_run or call.service.idempotent)
             and not call.answering
             and not call.body.consumed
             and call.deadline > self.clock()
-            and self.budget.take()
+            and self.retry_budget.acquire()
         )
 
-    def _give_up(self, call: Call, *, failure: Failure) -> web.Response:
-        failure = call.final(failure)
+    def _fail(self, call: Call, *, failure: Failure) -> web.Response:
+        failure = call.final_failure(failure)
         if failure.work is WorkState.NOT_RUN:
             self._release_claim(call)
-            return self._refuse(call.record, failure)
-        call.record.outcome = _describe(failure)
+            return self._reject(call.record, failure)
+        call.record.outcome = _describe_failure(failure)
         service = call.service.name
         self.metrics.count(f"failed.{failure.code.name}")
         log_event(Event.REQUEST_FAILED, service=service, code=int(failure.code), message=failure.message)
@@ -331,16 +334,16 @@
         if call.claim is not None and not call.sending and call.earlier is None:
             self.forwarder.claims.release(call.claim)
 
-    def _refuse(self, record: RequestRecord, failure: Failure) -> web.Response:
-        record.outcome = _describe(failure)
+    def _reject(self, record: RequestRecord, failure: Failure) -> web.Response:
+        record.outcome = _describe_failure(failure)
         self.metrics.count(f"refused.{failure.code.name}")
         code = int(failure.code)
         log_event(Event.REQUEST_REFUSED, service=record.service, code=code, message=failure.message)
         return failure_response(failure)
 
 
-def _describe(failure: Failure) -> str:
-    return f"{_FAILED}{failure.code.name}, {failure.work}: {failure.message}"
+def _describe_failure(failure: Failure) -> str:
+    return f"{_FAILURE_PREFIX}{failure.code.name}, {failure.work}: {failure.message}"
 
 
 def _idempotency_key(request: web.Request) -> str:
@@ -358,9 +361,9 @@
     return timeout_s if 0 < timeout_s <= service.deadline_limit_s else None
 
 
-def _stored_answer(claim: Claim) -> web.Response:
+def _stored_response(claim: Claim) -> web.Response:
     if claim.body is None:
-        message = "the request ran before; its answer was too large to be kept"
+        message = "the request has already run; its response was too large to store"
         return failure_response(Failure(code=ResultCode.CLAIM_UNKNOWN, message=message, work=WorkState.RAN))
     headers = {"Hyssopway-Replayed": "true"}
     if claim.content_type:
--- a/src/hyssopway/gateway/headers.py
+++ b/src/hyssopway/gateway/headers.py
@@ -1,4 +1,4 @@
-"""Headers that are passed on and headers of this system."""
+"""Names and filters of HTTP headers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 REQUEST_ID_HEADER = "Hyssopway-Request-Id"
 REMAINING_HEADER = "Hyssopway-Remaining"
 NOT_RUN_HEADER = "Hyssopway-Not-Run"
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -29,8 +29,8 @@
         "upgrade",
     }
 )
-# The key is for this system only; aiohttp has decoded the body and answered `Expect` already.
-_DROPPED_FROM_REQUESTS = HOP_HEADERS | {
+# The key in `Authorization` is for hyssopway only; aiohttp has already decoded the body and answered `Expect`.
+_DROPPED_FROM_REQUESTS = HOP_BY_HOP_HEADERS | {
     "authorization",
     "content-encoding",
     "expect",
@@ -38,29 +38,31 @@
     REQUEST_ID_HEADER.lower(),
     REMAINING_HEADER.lower(),
 }
-_DROPPED_FROM_ANSWERS = HOP_HEADERS | {REQUEST_ID_HEADER.lower(), NOT_RUN_HEADER.lower()}
+_DROPPED_FROM_RESPONSES = HOP_BY_HOP_HEADERS | {REQUEST_ID_HEADER.lower(), NOT_RUN_HEADER.lower()}
 
 
 def request_headers(headers: Mapping[str, str], *, request_id: str, remaining_s: float) -> CIMultiDict[str]:
-    """Returns the headers that an endpoint gets."""
-    kept = _without(headers, dropped=_DROPPED_FROM_REQUESTS)
+    """Returns the headers for an endpoint, with the request ID and the remaining time in seconds."""
+    kept = _filter_headers(headers, dropped=_DROPPED_FROM_REQUESTS)
     kept[REQUEST_ID_HEADER] = request_id
     kept[REMAINING_HEADER] = f"{max(0.0, remaining_s):.3f}"
     return kept
 
 
-def answer_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
-    """Returns the headers that a caller gets."""
-    return _without(headers, dropped=_DROPPED_FROM_ANSWERS)
+def response_headers(headers: Mapping[str, str]) -> CIMultiDict[str]:
+    """Returns the headers for a caller."""
+    return _filter_headers(headers, dropped=_DROPPED_FROM_RESPONSES)
 
 
-def _without(headers: Mapping[str, str], *, dropped: frozenset[str]) -> CIMultiDict[str]:
-    named = headers.get("Connection", "").lower()
-    extra = {name.strip() for name in named.split(",")} if named else frozenset()
+def _filter_headers(headers: Mapping[str, str], *, dropped: frozenset[str]) -> CIMultiDict[str]:
+    connection_value = headers.get("Connection", "").lower()
+    connection_headers = (
+        {name.strip() for name in connection_value.split(",")} if connection_value else frozenset()
+    )
     return CIMultiDict(
         (name, value)
         for name, value in headers.items()
-        if (lower := name.lower()) not in dropped and lower not in extra
+        if (lower := name.lower()) not in dropped and lower not in connection_headers
     )
 
 
@@ -71,6 +73,6 @@
     "REMAINING_HEADER",
     "REQUEST_ID_HEADER",
     "TIMEOUT_HEADER",
-    "answer_headers",
     "request_headers",
+    "response_headers",
 ]
--- a/src/hyssopway/gateway/request_body.py
+++ b/src/hyssopway/gateway/request_body.py
@@ -1,4 +1,4 @@
-"""Body of a caller's request."""
+"""Reads, limits and buffers the body of a caller's request."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 
     from hyssopway.clock import Clock
 
-    from .body_memory import BodyMemory
+    from .body_memory_budget import BodyMemoryBudget
 
-# A caller that sends nothing for this time is given up.
-INPUT_IDLE_S = 5.0
-# A caller that trickles its body would keep a slot until its deadline, which may be an hour. A phone on a slow
-# mobile network sends more than this.
-INPUT_GRACE_S = 10.0
-MIN_INPUT_BYTES_PER_S = 1024
-_INPUT_ERRORS = (web.RequestPayloadError, HttpProcessingError, ConnectionError)
+# The request is rejected if the caller sends no data for this time.
+BODY_READ_TIMEOUT_S = 5.0
+# Minimum rate after the grace period. A caller that trickles its body would otherwise hold a slot until its
+# deadline, which can be an hour away. A phone on a slow mobile network sends faster than this.
+BODY_GRACE_S = 10.0
+MIN_BODY_BYTES_PER_S = 1024
+_BODY_READ_ERRORS = (web.RequestPayloadError, HttpProcessingError, ConnectionError)
 
 
 class BodyError(Exception):
-    """The caller's body cannot be read.
+    """The request body could not be read.
 
     Attributes:
-        failure: Answer to the caller.
+        failure: Failure to report to the caller.
     """
 
     def __init__(self, failure: Failure) -> None:
@@ -39,87 +39,93 @@
 
 
 class RequestBody:
-    """Beginning of a body in memory and the rest as it arrives.
+    """Request body with a buffered prefix and a streamed rest.
 
     Attributes:
-        request: Request of the caller.
-        limit: Most bytes accepted.
-        started: Local time at which the request arrived.
-        deadline: Local time by which it must have arrived.
-        start: Beginning of the body.
-        whole: Whether the beginning is all of it.
-        consumed: Whether part of the rest was passed on, so that it cannot be sent again.
-        memory: Memory of all bodies.
-        taken: Bytes taken of it.
-        problem: Why it could not be read.
+        request: HTTP request of the caller.
+        limit: Maximum size in bytes.
+        started: Local time in seconds at which the request arrived.
+        deadline: Local time in seconds by which the body must have arrived.
+        prefix: Buffered first part of the body.
+        complete: Whether the prefix is the whole body.
+        consumed: Whether streaming has begun, so that the body can't be sent again.
+        memory_budget: Memory shared by all request bodies.
+        reserved: Bytes reserved from the memory budget.
+        read_failure: Why the body could not be read, if so.
     """
 
     __slots__ = (
         "clock",
+        "complete",
         "consumed",
         "deadline",
         "limit",
-        "memory",
-        "problem",
+        "memory_budget",
+        "prefix",
+        "read_failure",
         "request",
-        "start",
+        "reserved",
         "started",
-        "taken",
-        "whole",
     )
 
     def __init__(
-        self, *, request: web.Request, limit: int, deadline: float, clock: Clock, memory: BodyMemory
+        self,
+        *,
+        request: web.Request,
+        limit: int,
+        deadline: float,
+        clock: Clock,
+        memory_budget: BodyMemoryBudget,
     ) -> None:
-        self.memory = memory
-        self.taken = 0
+        self.memory_budget = memory_budget
+        self.reserved = 0
         self.request = request
         self.limit = limit
         self.deadline = deadline
         self.clock = clock
         self.started = clock()
-        self.start = b""
-        self.whole = not request.body_exists
+        self.prefix = b""
+        self.complete = not request.body_exists
         self.consumed = False
-        self.problem: Failure | None = None
+        self.read_failure: Failure | None = None
 
-    async def read_start(self, *, up_to: int) -> None:
-        """Reads the whole body, or more than `up_to` bytes of it.
+    async def read_prefix(self, *, up_to: int) -> None:
+        """Reads the whole body, or stops once more than `up_to` bytes are buffered.
 
         Raises:
-            BodyError: It is too large, too slow or ends early.
+            BodyError: The body is too large, too slow or truncated, or the memory is exhausted.
         """
         if (self.request.content_length or 0) > self.limit:
             raise self._fail(_too_large(self.limit))
         parts = []
         size = 0
-        while not self.whole and size <= up_to:
+        while not self.complete and size <= up_to:
             part = await self._read_part(size=size)
             if part:
-                if not self.memory.take(len(part)):
-                    raise self._fail(_no_memory())
-                self.taken += len(part)
+                if not self.memory_budget.reserve(len(part)):
+                    raise self._fail(_memory_exhausted())
+                self.reserved += len(part)
                 parts.append(part)
                 size += len(part)
             else:
-                self.whole = True
-        self.start = b"".join(parts)
+                self.complete = True
+        self.prefix = b"".join(parts)
 
     def release(self) -> None:
-        """Gives its memory back; the request has ended."""
-        self.memory.give_back(self.taken)
-        self.taken = 0
+        """Releases the reserved memory after the request has ended."""
+        self.memory_budget.release(self.reserved)
+        self.reserved = 0
 
     def payload(self) -> bytes | AsyncIterator[bytes] | None:
-        """Returns what is sent to an endpoint."""
-        if self.whole:
-            return self.start or None
+        """Returns the body to send to an endpoint."""
+        if self.complete:
+            return self.prefix or None
         return self._stream()
 
     async def _stream(self) -> AsyncIterator[bytes]:
         self.consumed = True
-        size = len(self.start)
-        yield self.start
+        size = len(self.prefix)
+        yield self.prefix
         while part := await self._read_part(size=size):
             size += len(part)
             yield part
@@ -127,30 +133,30 @@
     async def _read_part(self, *, size: int) -> bytes:
         content = self.request.content
         try:
-            if content.is_eof():  # all of it has arrived, which is the usual case
+            if content.is_eof():  # the whole body has arrived, the usual case
                 part = content.read_nowait()
             else:
-                slowest = self.started + INPUT_GRACE_S + size / MIN_INPUT_BYTES_PER_S
+                slowest = self.started + BODY_GRACE_S + size / MIN_BODY_BYTES_PER_S
                 left_s = min(self.deadline, slowest) - self.clock()
-                async with asyncio.timeout(max(0.0, min(INPUT_IDLE_S, left_s))):
+                async with asyncio.timeout(max(0.0, min(BODY_READ_TIMEOUT_S, left_s))):
                     part = await content.readany()
         except TimeoutError as error:
             message = "the request body did not arrive in time"
             raise self._fail(Failure(code=ResultCode.REQUEST_TOO_SLOW, message=message)) from error
-        except _INPUT_ERRORS as error:
-            message = f"the request body is not whole: {error}"
+        except _BODY_READ_ERRORS as error:
+            message = f"the request body is incomplete or malformed: {error}"
             raise self._fail(Failure(code=ResultCode.MALFORMED_REQUEST, message=message)) from error
         if size + len(part) > self.limit:
             raise self._fail(_too_large(self.limit))
         return part
 
     def _fail(self, failure: Failure) -> BodyError:
-        self.problem = failure
+        self.read_failure = failure
         return BodyError(failure)
 
 
-def _no_memory() -> Failure:
-    message = "this entry holds too many bytes of request bodies"
+def _memory_exhausted() -> Failure:
+    message = "the memory for request bodies at this entry is exhausted"
     return Failure(code=ResultCode.QUEUE_FULL, message=message, retry_after_s=1.0)
 
 
--- a/src/hyssopway/gateway/request_records.py
+++ b/src/hyssopway/gateway/request_records.py
@@ -1,4 +1,4 @@
-"""What became of the last requests."""
+"""Bounded history of recent requests for operators."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True, kw_only=True)
 class RequestRecord:
-    """Decisions about one request.
+    """Route and outcome of one request.
 
     Attributes:
-        request_id: Its `Idempotency-Key`, shortened; empty without.
-        service: Service as named by the caller.
-        team: Team of its key; empty without.
-        endpoints: Endpoints in the order of tries.
-        waited_s: Time in queues for a slot.
-        took_s: Time until its answer or failure.
-        outcome: HTTP status of an answer, or name and message of the failure.
+        request_id: Its `Idempotency-Key`, truncated; empty without one.
+        service: Name of the service in the request.
+        team: Team of its key; empty without a key.
+        endpoints: Endpoints in the order of attempts.
+        waited_s: Time in seconds spent waiting for slots.
+        took_s: Time in seconds until the response or failure.
+        outcome: HTTP status of the response, or name and message of the failure.
     """
 
     request_id: str
@@ -28,11 +28,11 @@
     endpoints: list[str] = field(default_factory=list)
     waited_s: float = 0.0
     took_s: float = 0.0
-    outcome: str = "in progress or given up by the caller"
+    outcome: str = "in progress or abandoned by the caller"
 
 
 class RequestRecords:
-    """Bounded memory of one entry.
+    """Records of the latest requests at one entry.
 
     Attributes:
         records: Records, oldest first.
@@ -44,11 +44,11 @@
         self.records: deque[RequestRecord] = deque(maxlen=MAX_RECORDS)
 
     def add(self, record: RequestRecord) -> None:
-        """Keeps a record in place of the oldest."""
+        """Adds a record; drops the oldest one if the history is full."""
         self.records.append(record)
 
     def find(self, request_id: str) -> list[RequestRecord]:
-        """Returns the records of a request id, oldest first."""
+        """Returns the records of a request ID, oldest first."""
         return [record for record in self.records if record.request_id == request_id]
 
 
--- a/src/hyssopway/gateway/retry_budget.py
+++ b/src/hyssopway/gateway/retry_budget.py
@@ -1,31 +1,31 @@
-"""Limits retries to a part of what succeeds."""
+"""Limits retries to a fraction of successful attempts."""
 
 from __future__ import annotations
 
-PART = 0.1
-# Retries that a process may make before its first successes, and the most that it saves up.
-FIRST = 2.0
-MOST = 20.0
+RETRIES_PER_SUCCESS = 0.1
+# Retries available before the first success, and the maximum that can accumulate.
+INITIAL_BALANCE = 2.0
+MAX_BALANCE = 20.0
 
 
 class RetryBudget:
-    """Retries that may still be made.
+    """Token bucket for retries, refilled by successful attempts.
 
     Attributes:
-        balance: Retries left.
+        balance: Number of available retries.
     """
 
     __slots__ = ("balance",)
 
     def __init__(self) -> None:
-        self.balance = FIRST
+        self.balance = INITIAL_BALANCE
 
-    def succeeded(self) -> None:
-        """Adds a tenth of a retry."""
-        self.balance = min(MOST, self.balance + PART)
+    def record_success(self) -> None:
+        """Adds a tenth of a retry to the balance."""
+        self.balance = min(MAX_BALANCE, self.balance + RETRIES_PER_SUCCESS)
 
-    def take(self) -> bool:
-        """Takes a retry if one is left."""
+    def acquire(self) -> bool:
+        """Spends one retry; returns whether one was available."""
         if self.balance < 1.0:
             return False
         self.balance -= 1.0
--- a/src/hyssopway/gateway/sessions.py
+++ b/src/hyssopway/gateway/sessions.py
@@ -1,4 +1,4 @@
-"""HTTP clients towards endpoints."""
+"""HTTP client sessions for requests to endpoints."""
 
 from __future__ import annotations
 
@@ -11,14 +11,15 @@
 
 
 def open_session(*, reuse_connections: bool) -> aiohttp.ClientSession:
-    """Opens a client that sends every request at most once.
+    """Opens a client session that sends every request at most once.
 
     Args:
-        reuse_connections: Without, each request gets its own connection: a kept one may be closed by the
-            endpoint while a request is sent, and then nobody knows whether it ran.
+        reuse_connections: Whether connections are kept alive. Without it, each request gets a new connection:
+            an endpoint may close a kept one while a request is being sent, and whether the request ran is
+            then unknown.
     """
     trace = aiohttp.TraceConfig()
-    trace.on_request_headers_sent.append(_note_sending)
+    trace.on_request_headers_sent.append(_mark_sending)
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, force_close=not reuse_connections),
         auto_decompress=False,
@@ -26,13 +27,13 @@
         trace_configs=[trace],
         skip_auto_headers=("User-Agent", "Accept", "Accept-Encoding", "Content-Type"),
     )
-    # aiohttp sends GET, PUT and DELETE a second time when a kept connection breaks and has no public
-    # option against it; retries are made in one layer, which knows what is idempotent here.
+    # aiohttp resends GET, PUT and DELETE when a kept connection breaks and has no public option to disable
+    # it. Retries belong to the gateway, which knows which services are idempotent.
     session._retry_connection = False  # noqa: SLF001
     return session
 
 
-async def _note_sending(_: aiohttp.ClientSession, context: SimpleNamespace, __: Any) -> None:
+async def _mark_sending(_: aiohttp.ClientSession, context: SimpleNamespace, __: Any) -> None:
     context.trace_request_ctx.sending = True
 
 
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback with fakes for the agreed state and for endpoints."""
+"""Fixtures for a gateway on loopback with a fake submitter and fake endpoints."""
 
 from __future__ import annotations
 
@@ -36,56 +36,56 @@
 
 @dataclass(slots=True)
 class FakeSubmitter:
-    """Applies commands to a state at once; `lose` names the kinds whose outcome gets lost."""
+    """Applies commands to a state at once; outcomes of the kinds in `lost_kinds` are lost."""
 
     state: ControlState = field(default_factory=ControlState)
     now_ms: int = 1_000_000
-    lose: set[str] = field(default_factory=set)
+    lost_kinds: set[str] = field(default_factory=set)
     index: int = 0
-    hold: asyncio.Event | None = None
+    submit_gate: asyncio.Event | None = None
 
     @property
     def replica(self) -> Any:
-        """The state as a replica has it."""
+        """Replica that holds the state."""
         return SimpleNamespace(state=self.state)
 
     async def submit(self, command: ClaimRequest | ResolveClaim | ReleaseClaim, *, timeout_s: float = 5.0):
-        """Applies a command, also when its outcome gets lost."""
+        """Applies a command, even if its outcome is then lost."""
         await asyncio.sleep(0)
-        if self.hold is not None:
-            await self.hold.wait()
+        if self.submit_gate is not None:
+            await self.submit_gate.wait()
         self.index += 1
         data = encode_envelope(Envelope(at_ms=self.now_ms, wall_ms=self.now_ms, command=command))
         outcome = self.state.apply(index=self.index, data=data)
-        if command.kind in self.lose:
+        if command.kind in self.lost_kinds:
             return Error(UNKNOWN)
         return Error(outcome.failure) if outcome.failure else Ok(outcome)
 
 
 @dataclass(slots=True)
 class FakeEndpoint:
-    """An endpoint at socket level that answers in one of the ways of `_ANSWERS`."""
+    """Socket-level endpoint whose `behaviour` is one of the cases of `answer`."""
 
-    way: str
+    behaviour: str
     ran: Counter[str] = field(default_factory=Counter)
     in_progress: int = 0
-    most_in_progress: int = 0
+    max_in_progress: int = 0
     server: Any = None
     port: int = 0
     seen: list[dict[str, str]] = field(default_factory=list)
-    go_on: asyncio.Event = field(default_factory=asyncio.Event)
+    may_respond: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def open(self) -> None:
-        """Listens, or picks a port that refuses."""
+        """Listens, or reserves a port that refuses connections."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
-        if self.way == "refuses":
+        if self.behaviour == "refuses":
             self.server.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves the requests of one connection."""
+        """Handles the requests of one connection."""
         try:
-            if self.way == "resets before reading":
+            if self.behaviour == "resets before reading":
                 writer.transport.abort()
             while not writer.is_closing():
                 await self.serve_one(reader, writer)
@@ -95,7 +95,7 @@
             writer.close()
 
     async def serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one request."""
+        """Handles one request."""
         head = (await reader.readuntil(b"\r\n\r\n")).decode()
         headers = {
             name.lower(): value.strip()
@@ -103,21 +103,21 @@
         }
         self.seen.append(headers)
         body = await reader.readexactly(int(headers.get("content-length", 0)))
-        if self.way != "did not run":
+        if self.behaviour != "did not run":
             self.ran[headers.get("idempotency-key", "")] += 1
         self.in_progress += 1
-        self.most_in_progress = max(self.most_in_progress, self.in_progress)
+        self.max_in_progress = max(self.max_in_progress, self.in_progress)
         try:
-            if self.way != "slowly" or not await _closes(reader, within_s=0.2):
+            if self.behaviour != "slowly" or not await _closes(reader, within_s=0.2):
                 await self.answer(headers["hyssopway-request-id"], body, writer)
         finally:
             self.in_progress -= 1
 
     async def answer(self, request_id: str, body: bytes, writer: asyncio.StreamWriter) -> None:
-        """Answers in its way."""
+        """Responds according to `behaviour`."""
         own = f"Hyssopway-Request-Id: {request_id}\r\n"
         large = b"x" * (200 * KIB)
-        match self.way:
+        match self.behaviour:
             case "whole" | "slowly":
                 writer.write(_answer(own, body))
             case "whole large":
@@ -149,7 +149,7 @@
             case "did not run":
                 writer.write(_answer(f"{own}Hyssopway-Not-Run: true\r\n", b"", status="503 Busy"))
             case "never":
-                await asyncio.wait_for(self.go_on.wait(), timeout=5)
+                await asyncio.wait_for(self.may_respond.wait(), timeout=5)
                 writer.write(_answer(own, body))
         await writer.drain()
 
@@ -167,8 +167,8 @@
 
 
 @dataclass(slots=True)
-class Bench:
-    """A gateway and what surrounds it."""
+class GatewayHarness:
+    """A gateway with its fakes and an HTTP client."""
 
     url: str
     gateway: Gateway
@@ -178,9 +178,9 @@
     session: aiohttp.ClientSession
     endpoints: list[FakeEndpoint] = field(default_factory=list)
 
-    async def add(self, way: str, *, slots: int = 4, service: str = "plan") -> FakeEndpoint:
-        """Adds an endpoint."""
-        endpoint = FakeEndpoint(way)
+    async def add(self, behaviour: str, *, slots: int = 4, service: str = "plan") -> FakeEndpoint:
+        """Starts and announces an endpoint."""
+        endpoint = FakeEndpoint(behaviour)
         await endpoint.open()
         name = f"endpoint-{len(self.endpoints)}"
         address = f"http://127.0.0.1:{endpoint.port}"
@@ -192,7 +192,7 @@
         return endpoint
 
     async def call(self, service: str = "plan", *, key: str = "", **options: Any) -> tuple[int, Any]:
-        """Sends a request and returns status and JSON or bytes."""
+        """Sends a request and returns the status and the JSON or raw body."""
         headers = options.pop("headers", {}) | ({"Idempotency-Key": key} if key else {})
         url = f"{self.url}/call/{service}/path"
         method = options.pop("method", "POST")
@@ -214,8 +214,8 @@
 
 
 @pytest.fixture
-async def bench():
-    """A gateway without endpoints."""
+async def harness():
+    """Runs a gateway without endpoints."""
     clock = monotonic_s
     submitter = FakeSubmitter()
     document = SimpleNamespace(
@@ -247,10 +247,10 @@
     await listener.open(host="127.0.0.1", port=0)
     host, port = listener.listening.sockets[0].getsockname()[:2]
     async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=10)) as session:
-        made = Bench(f"http://{host}:{port}", gateway, submitter, registry, freshness, session)
+        made = GatewayHarness(f"http://{host}:{port}", gateway, submitter, registry, freshness, session)
         yield made
     for endpoint in made.endpoints:
-        endpoint.go_on.set()
+        endpoint.may_respond.set()
         endpoint.server.close()
     maintaining.cancel()
     router.close()
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send too much, too slowly or wrongly."""
+"""Malformed, slow and oversized requests of callers."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 @pytest.mark.parametrize(
     ("text", "status", "name"), [case[1:] for case in CASES], ids=[case[0] for case in CASES]
 )
-async def test_bad_input_gets_a_numbered_failure_and_harms_no_one(bench, monkeypatch, text, status, name):
-    """Guards against unclear errors, requests that reach an endpoint broken, and slots that are lost."""
-    monkeypatch.setattr(request_body, "INPUT_IDLE_S", 0.2)
-    endpoint = await bench.add("whole", slots=1)
-    host, port = bench.url.removeprefix("http://").split(":")
+async def test_bad_input_gets_numbered_failure_and_leaks_no_slot(harness, monkeypatch, text, status, name):
+    """Guards against unnumbered errors, malformed requests that reach an endpoint, and slot leaks."""
+    monkeypatch.setattr(request_body, "BODY_READ_TIMEOUT_S", 0.2)
+    endpoint = await harness.add("whole", slots=1)
+    host, port = harness.url.removeprefix("http://").split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(text.encode())
     head = (await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), timeout=3)).decode()
@@ -52,26 +52,26 @@
     writer.close()
     assert (head.split()[1], body["name"], body["work"]) == (str(status), name, "not_run")
     assert not endpoint.ran
-    assert await bench.call(data=b"next") == (200, b"next")
+    assert await harness.call(data=b"next") == (200, b"next")
 
 
-async def test_body_that_ends_early_reaches_no_endpoint(bench):
-    """Guards against half of a request being run."""
-    endpoint = await bench.add("whole", slots=1)
-    host, port = bench.url.removeprefix("http://").split(":")
+async def test_body_that_ends_early_reaches_no_endpoint(harness):
+    """Guards against running a truncated request."""
+    endpoint = await harness.add("whole", slots=1)
+    host, port = harness.url.removeprefix("http://").split(":")
     _, writer = await asyncio.open_connection(host, int(port))
     writer.write(f"{HEAD}Content-Length: 10\r\n\r\nabc".encode())
     writer.write_eof()
     await asyncio.sleep(0.1)
     writer.close()
-    assert bench.gateway.open_requests == 0
+    assert harness.gateway.open_requests == 0
     assert not endpoint.ran
 
 
-async def test_trickled_body_is_ended_before_its_deadline(bench, monkeypatch):
-    """Guards against a caller that keeps a slot by sending a byte now and then."""
-    monkeypatch.setattr(request_body, "INPUT_GRACE_S", 0.3)
-    host, port = bench.url.removeprefix("http://").split(":")
+async def test_trickled_body_is_rejected_before_deadline(harness, monkeypatch):
+    """Guards against a caller that holds a slot by trickling its body."""
+    monkeypatch.setattr(request_body, "BODY_GRACE_S", 0.3)
+    host, port = harness.url.removeprefix("http://").split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(f"{HEAD}Hyssopway-Timeout: 60\r\nContent-Length: 1000\r\n\r\n".encode())
 
@@ -84,32 +84,32 @@
     writer.close()
 
 
-async def test_caller_that_does_not_read_frees_its_slot(bench, monkeypatch):
-    """Guards against callers that stop reading and so keep the slots of an endpoint."""
-    monkeypatch.setattr(forwarder, "OUTPUT_IDLE_S", 0.3)
-    endpoint = await bench.add("whole huge", slots=1)
-    host, port = bench.url.removeprefix("http://").split(":")
+async def test_caller_that_does_not_read_frees_its_slot(harness, monkeypatch):
+    """Guards against callers that hold the slots of an endpoint by not reading."""
+    monkeypatch.setattr(forwarder, "RESPONSE_WRITE_TIMEOUT_S", 0.3)
+    endpoint = await harness.add("whole huge", slots=1)
+    host, port = harness.url.removeprefix("http://").split(":")
     reader, writer = await asyncio.open_connection(host, int(port), limit=1024)
     writer.write(f"{HEAD}Hyssopway-Timeout: 60\r\nContent-Length: 1\r\n\r\nx".encode())
 
     async def is_freed() -> bool:
-        return bool(endpoint.ran) and bench.gateway.open_requests == 0
+        return bool(endpoint.ran) and harness.gateway.open_requests == 0
 
     await wait_until(is_freed, timeout_s=5)
-    # The broken connection tells the caller that this is not the whole answer.
+    # The broken connection tells the caller that the response is incomplete.
     with pytest.raises((OSError, asyncio.IncompleteReadError)):
         await reader.readexactly(10_000_000)
     writer.close()
-    endpoint.way = "whole"
-    assert await bench.call(data=b"next") == (200, b"next")
+    endpoint.behaviour = "whole"
+    assert await harness.call(data=b"next") == (200, b"next")
 
 
 @pytest.mark.parametrize("pause_s", [0.0, 0.05], ids=["at once", "while it runs"])
 @pytest.mark.parametrize("service", ["plan", "once"])
-async def test_caller_that_closes_its_sending_side_gets_the_answer(bench, service, pause_s):
-    """Guards against taking a half-closed connection for a caller that hung up."""
-    await bench.add("slowly", service=service)
-    host, port = bench.url.removeprefix("http://").split(":")
+async def test_caller_that_closes_its_sending_side_gets_the_answer(harness, service, pause_s):
+    """Guards against taking a half-closed connection for a disconnect."""
+    await harness.add("slowly", service=service)
+    host, port = harness.url.removeprefix("http://").split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST /call/{service}/x HTTP/1.1\r\nHost: a\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\n"
     writer.write(f"{head}body".encode())
@@ -121,69 +121,69 @@
     assert answer.endswith(b"\r\n\r\nbody")
 
 
-async def test_endpoint_learns_the_remaining_time(bench):
-    """Guards against work that goes on after its caller has given up, and against a value set by the caller."""
-    endpoint = await bench.add("whole")
-    await bench.call(headers={"Hyssopway-Timeout": "1.5", "Hyssopway-Remaining": "99"})
+async def test_endpoint_learns_the_remaining_time(harness):
+    """Guards against work that continues after the caller's deadline, and against a value set by the caller."""
+    endpoint = await harness.add("whole")
+    await harness.call(headers={"Hyssopway-Timeout": "1.5", "Hyssopway-Remaining": "99"})
     assert 0 < float(endpoint.seen[0]["hyssopway-remaining"]) <= 1.5
 
 
-async def test_last_requests_are_explained(bench):
-    """Guards against a request whose tries and outcome nobody can find afterwards."""
-    await bench.add("did not run")
-    assert (await bench.call(key="failed"))[0] == 503
-    await bench.add("whole", service="once")
-    assert (await bench.call("once", key="ran", data=b"x"))[0] == 200
-    (failed,), (ran,) = bench.gateway.records.find("failed"), bench.gateway.records.find("ran")
+async def test_recent_requests_are_recorded(harness):
+    """Guards against a request whose attempts and outcome can't be found afterwards."""
+    await harness.add("did not run")
+    assert (await harness.call(key="failed"))[0] == 503
+    await harness.add("whole", service="once")
+    assert (await harness.call("once", key="ran", data=b"x"))[0] == 200
+    (failed,), (ran,) = harness.gateway.records.find("failed"), harness.gateway.records.find("ran")
     assert failed.endpoints[0] == "endpoint-0"
     assert "ENDPOINT_REFUSED, not_run" in failed.outcome
     assert (ran.service, ran.endpoints, ran.outcome) == ("once", ["endpoint-1"], "200")
-    bench.submitter.state.indexes.parsed["production"] = SimpleNamespace(
+    harness.submitter.state.indexes.parsed["production"] = SimpleNamespace(
         services=[SimpleNamespace(name="once", idempotent=False)], teams=[]
     )
-    (claim,) = explain_request(state=bench.submitter.state, request_id="ran")["claims"]
+    (claim,) = explain_request(state=harness.submitter.state, request_id="ran")["claims"]
     assert (claim["environment"], claim["service"], claim["status"]) == ("production", "once", 200)
-    bench.gateway.records.records.extend([ran] * MAX_RECORDS)
-    assert not bench.gateway.records.find("failed")
+    harness.gateway.records.records.extend([ran] * MAX_RECORDS)
+    assert not harness.gateway.records.find("failed")
 
 
 @pytest.mark.parametrize("service", ["plan", "once"])
-async def test_bodies_of_all_requests_share_a_bound(bench, service):
-    """Guards against many large bodies that fill memory, and against memory that is never given back."""
-    await bench.add("slowly", service=service)
-    bench.gateway.memory.limit = 100
-    calls = [bench.call(service, key=f"k{number}", data=b"x" * 60) for number in range(2)]
+async def test_request_bodies_share_memory_limit(harness, service):
+    """Guards against large bodies that exhaust memory, and against leaks of reserved memory."""
+    await harness.add("slowly", service=service)
+    harness.gateway.body_memory.limit = 100
+    calls = [harness.call(service, key=f"k{number}", data=b"x" * 60) for number in range(2)]
     answers = sorted(await asyncio.gather(*calls), key=lambda answer: answer[0])
     assert [status for status, _ in answers] == [200, 503]
     assert (answers[1][1]["name"], answers[1][1]["work"]) == ("QUEUE_FULL", "not_run")
-    assert (await bench.call(service, key="k3", data=b"y"))[0] == 200
-    assert bench.gateway.memory.taken == 0
+    assert (await harness.call(service, key="k3", data=b"y"))[0] == 200
+    assert harness.gateway.body_memory.reserved == 0
 
 
-async def test_body_without_length_is_limited_while_it_streams(bench):
-    """Guards against a chunked body that fills memory or an endpoint."""
-    await bench.add("whole")
+async def test_body_without_length_is_limited_while_it_streams(harness):
+    """Guards against a chunked body that exceeds the size limit while it is streamed."""
+    await harness.add("whole")
 
     async def parts():
         for _ in range(40):
             yield b"x" * 10_000
 
-    status, body = await bench.call(data=parts())
+    status, body = await harness.call(data=parts())
     assert (status, body["name"]) == (413, "BODY_TOO_LARGE")
 
 
-async def test_key_is_checked_again_after_the_wait(bench):
-    """Guards against work for a key that can no longer be confirmed when its turn comes."""
+async def test_key_is_checked_again_after_the_wait(harness):
+    """Guards against running a request whose key could no longer be confirmed after the wait for a slot."""
     key_id, text = make_key()
     key = Key(key_id=key_id, key_hash=hash_secret(split_key(text)[1]), team="t", granted_by="o", granted_ms=0)
-    bench.submitter.state.tables.keys[key_id] = key
-    endpoint = await bench.add("slowly", slots=1, service="keyed")
+    harness.submitter.state.tables.keys[key_id] = key
+    endpoint = await harness.add("slowly", slots=1, service="keyed")
     headers = {"Authorization": f"Bearer {text}"}
-    first = asyncio.create_task(bench.call("keyed", headers=headers))
+    first = asyncio.create_task(harness.call("keyed", headers=headers))
     await asyncio.sleep(0.05)
-    second = asyncio.create_task(bench.call("keyed", headers=headers))
+    second = asyncio.create_task(harness.call("keyed", headers=headers))
     await asyncio.sleep(0.05)
-    bench.freshness.confirmed_at = 0.0
+    harness.freshness.confirmed_at = 0.0
     assert (await first)[0] == 200
     status, body = await second
     assert (status, body["name"], body["work"]) == (503, "KEY_UNCONFIRMED", "not_run")
