--- a/src/hyssopway/relay/__init__.py
+++ b/src/hyssopway/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Finds the leader and passes requests to it."""
+"""Finds the leader and forwards requests to it."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/relay/leader_finder.py
+++ b/src/hyssopway/relay/leader_finder.py
@@ -1,4 +1,4 @@
-"""Finds the leader from any node."""
+"""Finds the leader by querying control nodes."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
     from .node_directory import NodeDirectory
 
-ASK_TIMEOUT_S = 0.35
-CHECK_S = 0.25
-# Callers wait while no leader is known.
-SEARCH_S = 0.08
-# Each miss of the leader's own answer for this long makes the other nodes be asked.
-SILENCE_S = 0.5
+QUERY_TIMEOUT_S = 0.35
+QUERY_INTERVAL_S = 0.25
+# Interval of queries while no leader is known; requests wait in that time, so it is shorter.
+SEARCH_INTERVAL_S = 0.08
+# All known control nodes are queried if the leader hasn't confirmed its leadership for this time.
+LEADER_TIMEOUT_S = 0.5
 
 
 class LeaderFinder:
-    """Keeps track of the leader by asking known control nodes.
+    """Tracks the leader by periodic queries to the known control nodes.
 
     Attributes:
-        directory: Clients of other nodes.
-        known_hosts: Control nodes heard of, seeds first.
-        leader: Node that leads; empty when unknown.
-        confirmed_at: Local time at which the leader last said that it leads.
-        changed: Set when a leader becomes known.
+        directory: Clients for the other nodes.
+        known_hosts: Known control nodes, seed hosts first.
+        leader: Host of the leader; empty if unknown.
+        confirmed_at: Local time in seconds of the latest query in which the leader confirmed its leadership.
+        changed: Set while a leader is known.
     """
 
     __slots__ = ("changed", "clock", "confirmed_at", "directory", "known_hosts", "leader")
@@ -46,11 +46,11 @@
         self.changed = asyncio.Event()
 
     def confirmed_age_s(self) -> float:
-        """Returns the age of the leader's last word."""
+        """Returns the time in seconds since the leader last confirmed its leadership."""
         return self.clock() - self.confirmed_at
 
-    def note_leader(self, host: str) -> None:
-        """Takes in who leads, as told by another node."""
+    def set_leader(self, host: str) -> None:
+        """Records the leader; an empty host is ignored."""
         if host and host != self.leader:
             log_event(Event.LEADER_FOUND, leader=host)
             self.leader = host
@@ -58,45 +58,49 @@
             self.known_hosts.setdefault(host)
             self.changed.set()
 
-    def forget_leader(self, host: str, *, reason: str) -> None:
-        """Drops a leader that does not answer or no longer leads."""
+    def clear_leader(self, host: str, *, reason: str) -> None:
+        """Clears the leader if `host` is still recorded as the leader."""
         if self.leader == host and host:
             log_event(Event.LEADER_MISSING, reason=reason)
             self.leader = ""
             self.changed.clear()
 
     async def run(self) -> None:
-        """Looks for the leader for as long as the node runs."""
+        """Queries the leader periodically, or all control nodes while no leader is confirmed."""
         while True:
-            if not self.leader or self.confirmed_age_s() > SILENCE_S:
-                await self._ask_all()
+            if not self.leader or self.confirmed_age_s() > LEADER_TIMEOUT_S:
+                await self._query_all()
             else:
-                await self._ask(self.leader)
-            await asyncio.sleep(CHECK_S if self.leader else SEARCH_S)
+                await self._query(self.leader)
+            await asyncio.sleep(QUERY_INTERVAL_S if self.leader else SEARCH_INTERVAL_S)
 
-    async def _ask_all(self) -> None:
+    async def _query_all(self) -> None:
         hosts = list(self.known_hosts)
-        await asyncio.gather(*(self._ask(host) for host in hosts))
-        if self.confirmed_age_s() > SILENCE_S + ASK_TIMEOUT_S:
-            self.forget_leader(self.leader, reason=f"{len(hosts)} control nodes know none that answers")
-
-    async def _ask(self, host: str) -> None:
-        asked_at = self.clock()
+        await asyncio.gather(*(self._query(host) for host in hosts))
+        if self.confirmed_age_s() > LEADER_TIMEOUT_S + QUERY_TIMEOUT_S:
+            self.clear_leader(
+                self.leader, reason=f"none of {len(hosts)} known control nodes reports a leader that responds"
+            )
+
+    async def _query(self, host: str) -> None:
+        sent_at = self.clock()
         try:
-            data = await self.directory.client(host).exchange(topic=LEADER, data=b"", timeout_s=ASK_TIMEOUT_S)
+            data = await self.directory.client(host).exchange(
+                topic=LEADER, data=b"", timeout_s=QUERY_TIMEOUT_S
+            )
         except PeerUnreachableError:
-            return  # the next round asks again; `_ask_all` logs when no node answers
+            return  # retried in the next round; `_query_all` logs if no leader responds
         try:
             answer = json.loads(data)
             members, leads, leader = list(answer["members"]), answer["leads"], answer["leader"]
         except (ValueError, KeyError, TypeError, RecursionError) as error:
             log_event(Event.INPUT_REFUSED, method=LEADER, path=host, reason=repr(error))
             return
-        for known in members:
-            self.known_hosts.setdefault(known)
+        for member_host in members:
+            self.known_hosts.setdefault(member_host)
         if leads:
-            self.note_leader(host)
-            self.confirmed_at = max(self.confirmed_at, asked_at)
+            self.set_leader(host)
+            self.confirmed_at = max(self.confirmed_at, sent_at)
         elif leader != host:
             self.known_hosts.setdefault(leader or host)
 
--- a/src/hyssopway/relay/node_directory.py
+++ b/src/hyssopway/relay/node_directory.py
@@ -1,19 +1,19 @@
-"""Clients of nodes that are named by their IP number."""
+"""Clients for nodes that are identified by their IP address."""
 
 from __future__ import annotations
 
 from hyssopway.peer import PeerClient, PeerDirectory
 
-# Nodes of one deployment share a private network and are told no secret.
+# The nodes of a deployment share a private network and get no shared secret.
 PEER_TOKEN = "hyssopway"  # noqa: S105
 
 
 class NodeDirectory(PeerDirectory):
-    """Makes a client for each node when it is first called.
+    """Creates the client for each node on first use.
 
     Attributes:
-        own_name: Name under which this node calls.
-        peer_port: Port for calls between nodes.
+        own_name: Name of this node in its calls.
+        peer_port: TCP port for calls between nodes.
     """
 
     __slots__ = ("own_name", "peer_port")
@@ -24,7 +24,7 @@
         self.peer_port = peer_port
 
     def client(self, daemon: str) -> PeerClient:
-        """Returns the client of a node."""
+        """Returns the client for a node, given its IP address."""
         client = self.clients.get(daemon)
         if client is None:
             client = self.clients[daemon] = PeerClient(
--- a/src/hyssopway/relay/relay.py
+++ b/src/hyssopway/relay/relay.py
@@ -1,4 +1,4 @@
-"""Passes requests to the leader."""
+"""Forwards requests to the leader."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from .leader_finder import LeaderFinder
     from .relayed_request import RelayedRequest
 
-TRY_TIMEOUT_S = 0.8
-RETRY_S = 0.05
+ATTEMPT_TIMEOUT_S = 0.8
+RETRY_DELAY_S = 0.05
 
 
 class UnansweredError(Exception):
-    """No leader answered in time.
+    """No leader responded in time.
 
     Attributes:
         may_have_run: Whether a leader may have received the request.
@@ -32,10 +32,10 @@
 
 
 class Relay:
-    """Sends requests to whoever leads; all requests are idempotent, so a lost answer is asked for again.
+    """Sends requests to the current leader; retries after a lost reply, as all requests are idempotent.
 
     Attributes:
-        finder: Knows the leader.
+        finder: Tracks the current leader.
     """
 
     __slots__ = ("finder",)
@@ -44,10 +44,10 @@
         self.finder = finder
 
     async def send(self, request: RelayedRequest, *, timeout_s: float) -> RelayedReply:
-        """Returns the leader's answer.
+        """Returns the leader's reply.
 
         Raises:
-            UnansweredError: There was none in time.
+            UnansweredError: No leader responded within `timeout_s` seconds.
         """
         clock = self.finder.clock
         started_at = clock()
@@ -60,26 +60,26 @@
                 break
             left_s = timeout_s - (clock() - started_at)
             try:
-                reply = await self._try(leader, data=data, timeout_s=min(TRY_TIMEOUT_S, left_s))
+                reply = await self._attempt(leader, data=data, timeout_s=min(ATTEMPT_TIMEOUT_S, left_s))
             except PeerUnreachableError as error:
                 may_have_run = True
                 reason = str(error)
-                self.finder.forget_leader(leader, reason=reason)
+                self.finder.clear_leader(leader, reason=reason)
                 continue
             if reply.status:
                 return reply
-            reason = f"{leader} does not lead"
+            reason = f"{leader} is not the leader"
             if reply.leader != leader:
-                self.finder.forget_leader(leader, reason=reason)
-                self.finder.note_leader(reply.leader)
-            await asyncio.sleep(RETRY_S)
+                self.finder.clear_leader(leader, reason=reason)
+                self.finder.set_leader(reply.leader)
+            await asyncio.sleep(RETRY_DELAY_S)
         waited_ms = round((clock() - started_at) * 1000)
         log_event(
             Event.RELAY_FAILED, method=request.method, path=request.path, waited_ms=waited_ms, reason=reason
         )
         raise UnansweredError(reason, may_have_run=may_have_run)
 
-    async def _try(self, leader: str, *, data: bytes, timeout_s: float) -> RelayedReply:
+    async def _attempt(self, leader: str, *, data: bytes, timeout_s: float) -> RelayedReply:
         client = self.finder.directory.client(leader)
         return RelayedReply.decode(await client.exchange(topic=RELAY, data=data, timeout_s=timeout_s))
 
--- a/src/hyssopway/relay/relayed_reply.py
+++ b/src/hyssopway/relay/relayed_reply.py
@@ -1,4 +1,4 @@
-"""The leader's answer to a relayed request."""
+"""Reply to a relayed request."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayedReply:
-    """An HTTP answer, or the news that another node leads.
+    """HTTP response of the leader, or a redirect from a node that does not lead.
 
     Attributes:
-        status: HTTP status; 0 when the node did not handle the request because it does not lead.
-        headers: Headers of the answer.
-        body: Body.
-        leader: Node that leads as far as known; empty when unknown.
+        status: HTTP status; 0 if the node did not handle the request because it does not lead.
+        headers: HTTP response headers.
+        body: HTTP response body.
+        leader: Current leader as far as the node knows; empty if unknown.
     """
 
     status: int
@@ -23,12 +23,12 @@
     leader: str = ""
 
     def encode(self) -> bytes:
-        """Encodes the answer: one line of JSON, then the body."""
+        """Encodes the reply as one line of JSON followed by the body."""
         return json.dumps([self.status, self.headers, self.leader]).encode() + b"\n" + self.body
 
     @staticmethod
     def decode(data: bytes) -> RelayedReply:
-        """Decodes an answer."""
+        """Decodes a reply."""
         head, _, body = data.partition(b"\n")
         status, headers, leader = json.loads(head)
         return RelayedReply(status=status, headers=headers, body=body, leader=leader)
--- a/src/hyssopway/relay/relayed_request.py
+++ b/src/hyssopway/relay/relayed_request.py
@@ -1,4 +1,4 @@
-"""A request that one node passes to the leader."""
+"""Request that a node relays to the leader."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RelayedRequest:
-    """An HTTP request as the leader needs it.
+    """Parts of an HTTP request that the leader needs.
 
     Attributes:
-        entry: Kind of listener that took it, `callers` or `control`.
+        entry: Listener that received the request, `callers` or `control`.
         method: HTTP method.
-        path: Path without query.
-        host: Host name that was called.
-        credential: Value of the authorization header; empty for none.
-        body: Body.
+        path: URL path without the query.
+        host: Requested host name.
+        credential: Value of the Authorization header; empty without one.
+        body: HTTP request body.
     """
 
     entry: str
@@ -27,7 +27,7 @@
     body: bytes
 
     def encode(self) -> bytes:
-        """Encodes the request: one line of JSON, then the body."""
+        """Encodes the request as one line of JSON followed by the body."""
         head = [self.entry, self.method, self.path, self.host, self.credential]
         return json.dumps(head).encode() + b"\n" + self.body
 
@@ -36,12 +36,12 @@
         """Decodes a request.
 
         Raises:
-            ValueError: The data are no request.
+            ValueError: The data isn't a valid request.
         """
         head, _, body = data.partition(b"\n")
         fields = json.loads(head)
         if not isinstance(fields, list) or not all(isinstance(field, str) for field in fields):
-            raise ValueError("the head of a request is a list of texts")
+            raise ValueError("the header line of a relayed request must be a list of strings")
         entry, method, path, host, credential = fields
         return RelayedRequest(
             entry=entry, method=method, path=path, host=host, credential=credential, body=body
--- a/src/hyssopway/relay/supervise.py
+++ b/src/hyssopway/relay/supervise.py
@@ -1,4 +1,4 @@
-"""Keeps a task of a node running."""
+"""Supervises the background tasks of a node."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-RESTART_S = 0.5
+RESTART_DELAY_S = 0.5
 
 
 async def supervise(name: str, work: Callable[[], Awaitable[None]]) -> None:
-    """Runs work until it returns and starts it again when it fails."""
+    """Runs `work` until it returns; logs an exception and restarts it after a delay."""
     while True:
         try:
             await work()
             return
         except Exception as error:
             log_event(Event.TASK_FAILED, task=name, error=repr(error))
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
 
 __all__ = ["supervise"]
--- a/src/hyssopway/relay/topics.py
+++ b/src/hyssopway/relay/topics.py
@@ -1,4 +1,4 @@
-"""Topics of exchanges between nodes."""
+"""Topics of messages between nodes."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_ledger.py
+++ b/tests/routing/test_ledger.py
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize(
     ("case", "free"),
     [
-        ("unreachable", 8),
+        ("dead", 8),
         ("holds a credit", 0),
         ("own zone", 0),
         ("other home unreachable", 0),
