--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -36,7 +36,7 @@
         router: Slot credits held by this daemon and queues of requests.
         collector: Finds the credits that are still held when an endpoint arrives.
         session: Client of endpoints.
-        once_session: Client of endpoints for requests that must not run twice.
+        single_use_session: Client of endpoints for requests that must not run twice.
         claims: Claims of non-idempotent requests.
         gateway: Interface of callers.
     """
--- a/src/hyssopway/routing/held_credit.py
+++ b/src/hyssopway/routing/held_credit.py
@@ -13,7 +13,7 @@
 
     Attributes:
         home: Daemon that issued it, or the endpoint's present home if that has changed.
-        credit: The credit.
+        credit: Credit as issued by its home.
         expires_at: Local time in seconds at which the lease expires.
         taken_at: Local time in seconds at which the current request acquired it.
         recalled: Whether it must be returned after the current request.
--- a/tests/gateway/conftest.py
+++ b/tests/gateway/conftest.py
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class FakeEndpoint:
-    """Socket-level endpoint whose `behaviour` is one of the cases of `answer`."""
+    """Socket-level endpoint whose `behaviour` is one of the cases of `respond`."""
 
     behaviour: str
     ran: Counter[str] = field(default_factory=Counter)
@@ -109,11 +109,11 @@
         self.max_in_progress = max(self.max_in_progress, self.in_progress)
         try:
             if self.behaviour != "slowly" or not await _closes(reader, within_s=0.2):
-                await self.answer(headers["hyssopway-request-id"], body, writer)
+                await self.respond(headers["hyssopway-request-id"], body, writer)
         finally:
             self.in_progress -= 1
 
-    async def answer(self, request_id: str, body: bytes, writer: asyncio.StreamWriter) -> None:
+    async def respond(self, request_id: str, body: bytes, writer: asyncio.StreamWriter) -> None:
         """Responds according to `behaviour`."""
         own = f"Hyssopway-Request-Id: {request_id}\r\n"
         large = b"x" * (200 * KIB)
@@ -196,9 +196,9 @@
         headers = options.pop("headers", {}) | ({"Idempotency-Key": key} if key else {})
         url = f"{self.url}/call/{service}/path"
         method = options.pop("method", "POST")
-        async with self.session.request(method, url, headers=headers, **options) as answer:
-            is_json = answer.content_type == "application/json"
-            return answer.status, await (answer.json() if is_json else answer.read())
+        async with self.session.request(method, url, headers=headers, **options) as response:
+            is_json = response.content_type == "application/json"
+            return response.status, await (response.json() if is_json else response.read())
 
 
 SERVICES = [
--- a/tests/gateway/test_callers.py
+++ b/tests/gateway/test_callers.py
@@ -115,10 +115,10 @@
     writer.write(f"{head}body".encode())
     await asyncio.sleep(pause_s)
     writer.write_eof()
-    answer = await asyncio.wait_for(reader.read(), timeout=3)
+    response = await asyncio.wait_for(reader.read(), timeout=3)
     writer.close()
-    assert answer.startswith(b"HTTP/1.1 200")
-    assert answer.endswith(b"\r\n\r\nbody")
+    assert response.startswith(b"HTTP/1.1 200")
+    assert response.endswith(b"\r\n\r\nbody")
 
 
 async def test_endpoint_learns_the_remaining_time(harness):
@@ -153,9 +153,9 @@
     await harness.add("slowly", service=service)
     harness.gateway.body_memory.limit = 100
     calls = [harness.call(service, key=f"k{number}", data=b"x" * 60) for number in range(2)]
-    answers = sorted(await asyncio.gather(*calls), key=lambda answer: answer[0])
-    assert [status for status, _ in answers] == [200, 503]
-    assert (answers[1][1]["name"], answers[1][1]["work"]) == ("QUEUE_FULL", "not_run")
+    responses = sorted(await asyncio.gather(*calls), key=lambda response: response[0])
+    assert [status for status, _ in responses] == [200, 503]
+    assert (responses[1][1]["name"], responses[1][1]["work"]) == ("QUEUE_FULL", "not_run")
     assert (await harness.call(service, key="k3", data=b"y"))[0] == 200
     assert harness.gateway.body_memory.reserved == 0
 
--- a/tests/gateway/test_claims.py
+++ b/tests/gateway/test_claims.py
@@ -91,7 +91,7 @@
 
 
 async def test_environments_do_not_share_keys(managers):
-    """Guards against a trial request whose key blocks or answers a request in production."""
+    """Guards against a trial request whose idempotency key blocks or answers a request in production."""
     assert (await _claim(managers[0])).is_ok()
     assert (await _claim(managers[0], environment="trial", fingerprint="g")).is_ok()
 
@@ -106,7 +106,7 @@
 
 
 class _LaggingSubmitter:
-    """Submitter whose replica has applied nothing."""
+    """Submitter that submits to one state while its replica shows another, empty one."""
 
     def __init__(self, *, applied) -> None:
         self.submit = applied.submit
--- a/tests/gateway/test_responses.py
+++ b/tests/gateway/test_responses.py
@@ -29,8 +29,8 @@
     """Guards against truncated or mismatched responses, and against "not run" for a request that ran."""
     endpoint = await harness.add(behaviour, service=service)
     headers = {"Hyssopway-Timeout": "0.3"}
-    got, body = await harness.call(service, key="k", data=b"body", headers=headers)
-    assert (got, body["name"], body["work"]) == (status, name, work)
+    received, body = await harness.call(service, key="k", data=b"body", headers=headers)
+    assert (received, body["name"], body["work"]) == (status, name, work)
     if work == NOT_RUN:
         assert not endpoint.ran
     if service == "once":
@@ -71,9 +71,11 @@
     await harness.add(behaviour, slots=2)
     await harness.add("whole", slots=2)
     bodies = [f"body {number}".encode() * (number + 1) for number in range(40)]
-    answers = await asyncio.gather(*(harness.call(data=body) for body in bodies))
-    assert all(status != 200 or got == body for (status, got), body in zip(answers, bodies, strict=True))
-    assert sum(status == 200 for status, _ in answers) >= 35
+    responses = await asyncio.gather(*(harness.call(data=body) for body in bodies))
+    assert all(
+        status != 200 or received == body for (status, received), body in zip(responses, bodies, strict=True)
+    )
+    assert sum(status == 200 for status, _ in responses) >= 35
 
 
 async def test_large_response_is_streamed_completely(harness):
@@ -104,8 +106,8 @@
     assert endpoint.in_progress == 2
     for task in tasks[:2]:
         task.cancel()
-    answers = await asyncio.gather(*tasks, return_exceptions=True)
-    assert [answer[0] for answer in answers[2:]] == [200] * 6
+    responses = await asyncio.gather(*tasks, return_exceptions=True)
+    assert [response[0] for response in responses[2:]] == [200] * 6
     assert endpoint.max_in_progress == 2
     assert harness.gateway.open_requests == 0
     assert not harness.gateway.router.queues["production", "plan"].in_use
