--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_path.py
@@ -8,11 +8,11 @@
 from hyssopway.control.record import VmState
 from hyssopway.endpoint import EndpointHealth, EndpointRegistry
 from hyssopway.gateway import Gateway
-from hyssopway.gateway.claims import ClaimKeeper
+from hyssopway.gateway.claims import ClaimManager
 from hyssopway.gateway.forwarder import Forwarder
 from hyssopway.gateway.sessions import open_session
 from hyssopway.metrics import Metrics
-from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
+from hyssopway.routing import CreditLedger, HeldCreditCollector, HomeDirectory, Router
 
 from .control_group import nearest_first
 
@@ -36,7 +36,7 @@
         router: Slot credits held by this daemon and queues of requests.
         collector: Finds the credits that are still held when an endpoint arrives.
         session: Client of endpoints.
-        once_session: Client of endpoints for requests that must not run twice.
+        single_use_session: Client of endpoints for requests that must not run twice.
         claims: Claims of non-idempotent requests.
         gateway: Interface of callers.
     """
@@ -49,15 +49,15 @@
         "homes",
         "ledger",
         "metrics",
-        "once_session",
         "registry",
         "router",
         "session",
+        "single_use_session",
     )
 
     session: aiohttp.ClientSession
-    once_session: aiohttp.ClientSession
-    claims: ClaimKeeper
+    single_use_session: aiohttp.ClientSession
+    claims: ClaimManager
     gateway: Gateway
 
     def __init__(self, *, group: ControlGroup) -> None:
@@ -66,7 +66,7 @@
         self.metrics = Metrics()
         self.registry = EndpointRegistry(clock=clock, may_serve=self._vm_may_serve)
         self.ledger = CreditLedger(registry=self.registry, clock=clock, entries=len(settings.peers))
-        self.homes = Homes(
+        self.homes = HomeDirectory(
             own_name=settings.name,
             ledger=self.ledger,
             peers=group.peers,
@@ -74,22 +74,22 @@
             clock=clock,
         )
         self.router = Router(homes=self.homes, health=EndpointHealth(clock=clock), clock=clock)
-        self.collector = HeldCollector(
+        self.collector = HeldCreditCollector(
             own_name=settings.name,
             ledger=self.ledger,
             router=self.router,
             peers=group.peers,
             others=nearest_first(settings),
-            near=frozenset(peer.name for peer in settings.other_peers() if peer.zone == settings.zone),
+            own_zone=frozenset(peer.name for peer in settings.other_peers() if peer.zone == settings.zone),
         )
-        self.registry.on_new_endpoint = self.collector.begin
+        self.registry.on_new_endpoint = self.collector.start
 
     def open(self) -> None:
         """Opens the clients, which need a running loop, and builds the gateway."""
         group = self.group
         self.session = open_session(reuse_connections=True)
-        self.once_session = open_session(reuse_connections=False)
-        self.claims = ClaimKeeper(own_name=group.settings.name, submitter=group.submitter)
+        self.single_use_session = open_session(reuse_connections=False)
+        self.claims = ClaimManager(own_name=group.settings.name, submitter=group.submitter)
         self.gateway = Gateway(
             replica=group.replica,
             freshness=group.freshness,
@@ -97,7 +97,7 @@
             forwarder=Forwarder(
                 claims=self.claims,
                 session=self.session,
-                once_session=self.once_session,
+                single_use_session=self.single_use_session,
                 clock=group.clock,
             ),
             metrics=self.metrics,
@@ -108,7 +108,7 @@
     async def close(self) -> None:
         """Closes the clients."""
         await self.session.close()
-        await self.once_session.close()
+        await self.single_use_session.close()
 
     async def expire(self) -> None:
         """Ends leases of endpoints and credits for as long as the daemon runs."""
--- a/src/hyssopway/fleet/vm_request_counter.py
+++ b/src/hyssopway/fleet/vm_request_counter.py
@@ -12,7 +12,7 @@
 from hyssopway.document import parse_document
 from hyssopway.endpoint import ENDPOINT_LEASE_S
 from hyssopway.peer import PeerUnreachableError
-from hyssopway.routing import CREDIT_LEASE_S, HOME_MARGIN_S, SUMMARY_VALID_S
+from hyssopway.routing import CLOCK_DRIFT_MARGIN_S, CREDIT_LEASE_S, SUMMARY_VALID_S
 
 if TYPE_CHECKING:
     from hyssopway.peer import PeerDirectory
@@ -25,12 +25,12 @@
 STOP_TIMEOUT_S = 0.5
 # Longest time after its last contact in which an entry may still send requests: it may renew credits until
 # others miss its summaries, and then use them until their lease expires.
-MAX_SEND_AFTER_CONTACT_S = SUMMARY_VALID_S + CREDIT_LEASE_S + HOME_MARGIN_S
+MAX_SEND_AFTER_CONTACT_S = SUMMARY_VALID_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S
 # Largest age of the request count in a sync: a worker abandons a sync after 2.5 s.
 MAX_REPORT_AGE_S = 3.0
 # An endpoint that left may receive requests until its lease at a home that it could not notify, and the
 # credits granted by that home, have expired. A count is final only if it is taken after that.
-REPORT_TRUSTED_AFTER_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + HOME_MARGIN_S + MAX_REPORT_AGE_S
+REPORT_TRUSTED_AFTER_S = ENDPOINT_LEASE_S + CREDIT_LEASE_S + CLOCK_DRIFT_MARGIN_S + MAX_REPORT_AGE_S
 
 
 class VmRequestCounter:
@@ -116,7 +116,7 @@
             "granted": sum(
                 grant.vm == vm and grant.expires_at > now for grant in self.ledger.grants.values()
             ),
-            "held": self.router.held_on(vm),
+            "held": self.router.count_credits_on(vm),
             "heard": {name: now - home.heard_at for name, home in self.router.homes.others.items()},
         }
 
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -31,7 +31,7 @@
     Relay,
     RelayedReply,
     RelayedRequest,
-    keep_running,
+    supervise,
 )
 from hyssopway.workflow import WorkflowState
 
@@ -135,9 +135,7 @@
             "lead": self._run_leadership,
             "finder": self.finder.run,
         }
-        self.tasks = [
-            asyncio.create_task(keep_running(name, loop), name=name) for name, loop in loops.items()
-        ]
+        self.tasks = [asyncio.create_task(supervise(name, loop), name=name) for name, loop in loops.items()]
 
     async def resign_leadership(self) -> None:
         """Steps down if this node leads, and notifies the other voters so that they elect a leader at once."""
--- a/src/hyssopway/routing/__init__.py
+++ b/src/hyssopway/routing/__init__.py
@@ -1,22 +1,22 @@
-"""Routing of requests to endpoints by slot credits."""
+"""Routes requests to endpoints by credit-based flow control over their slots."""
 
 from __future__ import annotations
 
-from .collector import GRANTS_TOPIC, HeldCollector
 from .held_credit import HeldCredit
-from .homes import SUMMARY_TOPIC, SUMMARY_VALID_S, Homes
-from .ledger import CREDIT_LEASE_S, HOME_MARGIN_S, CreditLedger
+from .held_credit_collector import GRANTS_TOPIC, HeldCreditCollector
+from .home_directory import SUMMARY_TOPIC, SUMMARY_VALID_S, HomeDirectory
+from .ledger import CLOCK_DRIFT_MARGIN_S, CREDIT_LEASE_S, CreditLedger
 from .router import Router
 
 __all__ = [
+    "CLOCK_DRIFT_MARGIN_S",
     "CREDIT_LEASE_S",
     "GRANTS_TOPIC",
-    "HOME_MARGIN_S",
     "SUMMARY_TOPIC",
     "SUMMARY_VALID_S",
     "CreditLedger",
-    "HeldCollector",
     "HeldCredit",
-    "Homes",
+    "HeldCreditCollector",
+    "HomeDirectory",
     "Router",
 ]
--- a/tests/routing/conftest.py
+++ b/tests/routing/conftest.py
@@ -1,4 +1,4 @@
-"""Fakes for credits without processes."""
+"""Fixtures for routing with several daemons in one process."""
 
 from __future__ import annotations
 
@@ -10,74 +10,74 @@
 
 from hyssopway.endpoint import Announcement, EndpointHealth, EndpointRegistry
 from hyssopway.peer import PeerUnreachableError
-from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
+from hyssopway.routing import CreditLedger, HeldCreditCollector, HomeDirectory, Router
 
 
 @dataclass(slots=True)
 class ManualClock:
-    """Time that moves only when a test says so."""
+    """Clock that tests advance explicitly."""
 
     now: float = 1000.0
 
     def __call__(self) -> float:
-        """Returns the time."""
+        """Returns the time in seconds."""
         return self.now
 
 
 @dataclass(slots=True)
 class FakePeers:
-    """Other daemons of one process, by name; those in `silent` do not answer."""
+    """Peer directory for daemons in this process; calls to those in `unreachable` fail."""
 
     daemons: dict[str, Entry] = field(default_factory=dict)
-    silent: set[str] = field(default_factory=set)
+    unreachable: set[str] = field(default_factory=set)
     calls: int = 0
     caller: str = ""
 
     def client(self, name: str) -> FakeClient:
-        """Returns a client of a daemon."""
+        """Returns a client for a daemon."""
         return FakeClient(peers=self, name=name)
 
 
 @dataclass(slots=True)
 class FakeClient:
-    """Calls of one daemon to another."""
+    """Client that calls another daemon directly."""
 
     peers: FakePeers
     name: str
 
     def _target(self) -> Entry:
         self.peers.calls += 1
-        if self.name in self.peers.silent:
-            raise PeerUnreachableError(f"{self.name} is silent")
+        if self.name in self.peers.unreachable:
+            raise PeerUnreachableError(f"{self.name} is unreachable")
         return self.peers.daemons[self.name]
 
     async def credits(self, *, request, timeout_s):
-        """Asks for credits."""
-        return self._target().ledger.answer(request)
+        """Requests credits from the daemon's ledger."""
+        return self._target().ledger.handle_request(request)
 
     async def held_credits(self, *, endpoint, timeout_s):
-        """Asks for credits held."""
-        return self._target().router.hand_over(endpoint=endpoint, home=self.peers.caller)
+        """Returns the credits that the daemon holds for an endpoint."""
+        return self._target().router.reassign_home(endpoint=endpoint, home=self.peers.caller)
 
     async def exchange(self, *, topic, data, timeout_s):
-        """Asks for the credits that the daemon handed out."""
-        return to_json(self._target().collector.own_grants(from_json(data)))
+        """Returns the holders of credits that the daemon issued."""
+        return to_json(self._target().collector.report_grants(from_json(data)))
 
 
 @dataclass(slots=True)
 class Entry:
-    """The parts of one daemon that route."""
+    """Routing components of one daemon."""
 
     name: str
     registry: EndpointRegistry
     ledger: CreditLedger
-    homes: Homes
+    homes: HomeDirectory
     router: Router
     health: EndpointHealth
-    collector: HeldCollector
+    collector: HeldCreditCollector
 
     def announce(self, name: str, *, age_s: float = 10.0, **fields) -> None:
-        """Announces an endpoint that is past its slow start."""
+        """Announces an endpoint; the default age is beyond its slow start."""
         announcement = Announcement(service="plan", address=f"http://{name}:1", **fields)
         endpoint = self.registry.announce(name=name, announcement=announcement)
         endpoint.announced_at -= age_s
@@ -95,22 +95,22 @@
 
 @pytest.fixture
 def make_entry(peers: FakePeers, clock: ManualClock):
-    """Makes an entry daemon whose homes are all others made so far, in the same zone if `near`."""
+    """Makes an entry daemon that knows all daemons made before it; they share its zone if `near`."""
 
     def make(name: str, *, near: bool = True, entries: int = 6) -> Entry:
         registry = EndpointRegistry(clock=clock)
         ledger = CreditLedger(registry=registry, clock=clock, entries=entries, rng=random.Random(1))
         others = dict.fromkeys(peers.daemons, near)
-        homes = Homes(own_name=name, ledger=ledger, peers=peers, others=others, clock=clock)
+        homes = HomeDirectory(own_name=name, ledger=ledger, peers=peers, others=others, clock=clock)
         health = EndpointHealth(clock=clock)
         router = Router(homes=homes, health=health, clock=clock)
-        collector = HeldCollector(
+        collector = HeldCreditCollector(
             own_name=name,
             ledger=ledger,
             router=router,
             peers=peers,
             others=list(others),
-            near=frozenset(others if near else ()),
+            own_zone=frozenset(others if near else ()),
         )
         entry = Entry(name, registry, ledger, homes, router, health, collector)
         peers.daemons[name] = entry
@@ -120,13 +120,13 @@
 
 
 @pytest.fixture
-def learn(peers: FakePeers, clock: ManualClock):
-    """Lets an entry know the summaries of all others."""
+def share_summaries(peers: FakePeers, clock: ManualClock):
+    """Gives an entry the summaries of all other daemons."""
 
-    def learn_all(entry: Entry) -> None:
+    def share_all(entry: Entry) -> None:
         for home in entry.homes.others.values():
             summaries = peers.daemons[home.name].router.summarise()
             home.summaries = {(item.environment, item.service): item for item in summaries}
             home.heard_at = clock()
 
-    return learn_all
+    return share_all
