--- a/src/hyssopway/routing/home_directory.py
+++ b/src/hyssopway/routing/home_directory.py
@@ -104,7 +104,7 @@
 
     def count_slots(self, service: tuple[str, str]) -> int:
         """Returns the number of slots of a service at this daemon and all known homes."""
-        own = self.ledger.registry.serving(environment=service[0], service=service[1])
+        own = self.ledger.registry.available_endpoints(environment=service[0], service=service[1])
         return sum(endpoint.announcement.slots for endpoint in own) + sum(
             home.summaries[service].slots
             for near in (True, False)
