--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -21,7 +21,7 @@
 from .http_application import HttpApplication
 from .job_path import JobPath
 from .opening import open_member
-from .peer_calls import PeerCalls
+from .peer_calls import PeerCallHandler
 from .reloading import reload_settings
 from .request_path import RequestPath
 
@@ -63,7 +63,7 @@
         self.member = self.group.member
         self.requests = RequestPath(group=self.group)
         self.fleet = FleetParts(group=self.group, requests=self.requests)
-        self.calls = PeerCalls(
+        self.calls = PeerCallHandler(
             member=self.member,
             proposer=self.group.proposer,
             replica=self.replica,
@@ -71,7 +71,7 @@
             ledger=self.requests.ledger,
             router=self.requests.router,
         )
-        self.calls.vouched = {}
+        self.calls.reported_contacts = {}
         self.jobs = JobPath(group=self.group, fleet=self.fleet, calls=self.calls)
         self.calls.exchanges.update(list_exchanges(self))
         self.peer_server = PeerServer(handlers=self.calls, token=settings.peer_token)
--- a/src/hyssopway/daemon/job_path.py
+++ b/src/hyssopway/daemon/job_path.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from .control_group import ControlGroup
     from .fleet_parts import FleetParts
-    from .peer_calls import PeerCalls
+    from .peer_calls import PeerCallHandler
 
 
 class JobPath:
@@ -26,7 +26,7 @@
 
     __slots__ = ("lost_homes", "scheduler", "sessions", "unordered_runs", "usage")
 
-    def __init__(self, *, group: ControlGroup, fleet: FleetParts, calls: PeerCalls) -> None:
+    def __init__(self, *, group: ControlGroup, fleet: FleetParts, calls: PeerCallHandler) -> None:
         own_name = group.settings.name
         self.sessions = WorkerSessions(
             own_name=own_name,
@@ -56,7 +56,7 @@
         self.scheduler.planner.find_silent_homes = self.lost_homes.find_silent_homes
         self.unordered_runs = self._build_unordered_runs(group=group, calls=calls)
 
-    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCalls) -> RunRevoker | None:
+    def _build_unordered_runs(self, *, group: ControlGroup, calls: PeerCallHandler) -> RunRevoker | None:
         if group.member is None or group.proposer is None:
             return None
         return RunRevoker(
--- a/src/hyssopway/daemon/load_push.py
+++ b/src/hyssopway/daemon/load_push.py
@@ -86,8 +86,8 @@
     except PeerUnreachableError:
         return ""
     leader = str(from_json(answer)["leader"])
-    if leader == target and daemon.calls.vouched is not None:
-        daemon.calls.vouched |= contacts
+    if leader == target and daemon.calls.reported_contacts is not None:
+        daemon.calls.reported_contacts |= contacts
     return leader
 
 
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -40,7 +40,7 @@
 MAX_WATCH_ENTRIES_BYTES = 4 * 1024 * 1024
 
 
-class PeerCalls:
+class PeerCallHandler:
     """Implements `PeerHandlers` for one daemon.
 
     Attributes:
@@ -51,7 +51,7 @@
         ledger: Slot credits of endpoints whose home is this daemon.
         router: Slot credits held by this daemon.
         contacts: Local time of the last confirm or watch call of each daemon.
-        vouched: Local time of the last contact of each daemon that the leader has learned of from here; None
+        reported_contacts: Local time of the last contact of each daemon that the leader has learned of from here; None
             where watchers are confirmed without that.
         covered: Largest index that this daemon confirmed to each daemon as leader.
         withheld: Daemons that get no confirmation while runs placed there are taken back.
@@ -70,7 +70,7 @@
         "proposer",
         "replica",
         "router",
-        "vouched",
+        "reported_contacts",
         "withheld",
     )
 
@@ -90,7 +90,7 @@
         self.freshness = freshness
         self.ledger = ledger
         self.contacts: dict[str, float] = {}
-        self.vouched: dict[str, float] | None = None
+        self.reported_contacts: dict[str, float] | None = None
         self.covered: dict[str, int] = {}
         self.withheld: dict[str, list[EndRun]] = {}
         self.router = router
@@ -185,9 +185,9 @@
         The leader ends the runs of a home that it has not heard of for long. A watcher must not be
         confirmed for later than that, or it would renew leases of runs that are placed again.
         """
-        if self.vouched is None or (self.member is not None and self.member.is_leader):
+        if self.reported_contacts is None or (self.member is not None and self.member.is_leader):
             return 0.0
-        return self.freshness.clock() - self.vouched.get(daemon, -inf)
+        return self.freshness.clock() - self.reported_contacts.get(daemon, -inf)
 
     def _member(self) -> Member:
         if self.member is None:
@@ -195,4 +195,4 @@
         return self.member
 
 
-__all__ = ["PeerCalls"]
+__all__ = ["PeerCallHandler"]
--- a/tests/replica/test_following.py
+++ b/tests/replica/test_following.py
@@ -12,7 +12,7 @@
 from hyssopway.control import Envelope, encode_envelope
 from hyssopway.control.command import GrantKey
 from hyssopway.daemon import peer_calls
-from hyssopway.daemon.peer_calls import PeerCalls
+from hyssopway.daemon.peer_calls import PeerCallHandler
 from hyssopway.peer import PeerUnreachableError
 from hyssopway.replica import AUTHORITY_TTL_S, Freshness, Replica, follow_upstream
 from hyssopway.replica.following import _read_snapshot, _watch_once
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.replica = Replica()
         self.freshness = Freshness(clock=time.monotonic)
-        self.calls = PeerCalls(
+        self.calls = PeerCallHandler(
             member=None,
             proposer=None,
             replica=self.replica,
@@ -66,10 +66,10 @@
     """Guards against a home without a log that renews leases after the leader has ended its runs."""
     upstream = Upstream()
     upstream.fill(1)
-    upstream.calls.vouched = {}
+    upstream.calls.reported_contacts = {}
     unknown = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
     assert math.isinf(unknown.confirmed_age_s)
-    upstream.calls.vouched["f"] = time.monotonic() - 2.0
+    upstream.calls.reported_contacts["f"] = time.monotonic() - 2.0
     known = await upstream.calls.watch(daemon="f", from_index=1, wait_s=0.0)
     assert 2.0 <= known.confirmed_age_s < 3.0
 
