--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -29,7 +29,7 @@
         clock: Monotonic seconds.
         replica: Agreed state.
         freshness: How current the replica is.
-        agreed_clock: Time in the agreed state.
+        cluster_clock: Time in the agreed state.
         applied_times: When this process reached recent log indexes.
         peers: Clients of the other daemons.
         member: Control member; None without a disk.
@@ -39,7 +39,7 @@
     """
 
     __slots__ = (
-        "agreed_clock",
+        "cluster_clock",
         "applied_times",
         "clock",
         "freshness",
@@ -57,7 +57,7 @@
         self.clock = clock
         self.replica = Replica()
         self.freshness = Freshness(clock=clock)
-        self.agreed_clock = ClusterClock(clock=clock)
+        self.cluster_clock = ClusterClock(clock=clock)
         self.applied_times = AppliedTimes(clock=clock, read_index=lambda: self.replica.state.applied_index)
         tls = settings.tls
         self.peers = PeerDirectory(settings=settings, tls=peer_client_context(tls) if tls else None)
@@ -86,7 +86,7 @@
 
     def now_ms(self) -> int:
         """Returns agreed time; on a daemon that does not lead it may lag behind the leader's."""
-        return self.agreed_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
+        return self.cluster_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
 
     async def confirm(self, member: Member) -> None:
         """Keeps the freshness of a daemon with a member, which gets entries from the leader's log."""
@@ -131,7 +131,7 @@
         return Proposer(
             member=self.member,
             replica=self.replica,
-            agreed_clock=self.agreed_clock,
+            cluster_clock=self.cluster_clock,
             wall_ms=wall_ms,
         )
 
--- a/src/hyssopway/replica/proposer.py
+++ b/src/hyssopway/replica/proposer.py
@@ -24,23 +24,23 @@
     Attributes:
         member: Control member of this daemon.
         replica: Agreed state of this daemon.
-        agreed_clock: Time of the agreed state.
+        cluster_clock: Time of the agreed state.
         wall_ms: Wall-clock milliseconds, for display.
     """
 
-    __slots__ = ("agreed_clock", "member", "replica", "wall_ms")
+    __slots__ = ("cluster_clock", "member", "replica", "wall_ms")
 
     def __init__(
-        self, *, member: Member, replica: Replica, agreed_clock: ClusterClock, wall_ms: Callable[[], int]
+        self, *, member: Member, replica: Replica, cluster_clock: ClusterClock, wall_ms: Callable[[], int]
     ) -> None:
         self.member = member
         self.replica = replica
-        self.agreed_clock = agreed_clock
+        self.cluster_clock = cluster_clock
         self.wall_ms = wall_ms
 
     def now_ms(self) -> int:
         """Returns agreed time; only meaningful while this daemon leads."""
-        return self.agreed_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
+        return self.cluster_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
 
     async def propose(self, *, command: bytes, timeout_s: float) -> Result[Outcome, Failure]:
         """Proposes an encoded command.
