--- a/src/hyssopway/daemon/background_tasks.py
+++ b/src/hyssopway/daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""All tasks that run for as long as the daemon."""
+"""Background tasks that run for the lifetime of the daemon."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hyssopway.event import Event, log_event
 from hyssopway.worker import monitor_leases
 
-from .load_push import push_loads
+from .load_reports import report_loads
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
@@ -21,45 +21,45 @@
 
     Loop = Callable[[], Awaitable[None]]
 
-RESTART_S = 1.0
+RESTART_DELAY_S = 1.0
 
 
 def start_tasks(daemon: Daemon) -> list[asyncio.Task[None]]:
-    """Starts the tasks of a daemon."""
-    loops = _list_common(daemon)
+    """Starts the background tasks of a daemon and returns them."""
+    loops = _common_loops(daemon)
     if daemon.member is None:
-        loops["watch"] = daemon.group.watch
+        loops["watch"] = daemon.control.watch
     else:
-        loops |= _list_with_member(daemon, member=daemon.member)
+        loops |= _member_loops(daemon, member=daemon.member)
     return [asyncio.create_task(_keep_running(name, loop), name=name) for name, loop in loops.items()]
 
 
-def _list_common(daemon: Daemon) -> dict[str, Loop]:
+def _common_loops(daemon: Daemon) -> dict[str, Loop]:
     return {
         "expire": daemon.requests.expire,
-        "loads": lambda: push_loads(daemon),
+        "loads": lambda: report_loads(daemon),
         "silence": lambda: monitor_leases(daemon.jobs.sessions),
         "credits": daemon.requests.router.run,
         "summaries": daemon.requests.homes.run,
-        "applied_times": daemon.group.sample_index,
+        "applied_times": daemon.control.sample_index,
     }
 
 
-def _list_with_member(daemon: Daemon, *, member: Member) -> dict[str, Loop]:
-    peers = daemon.group.peers
+def _member_loops(daemon: Daemon, *, member: Member) -> dict[str, Loop]:
+    peers = daemon.control.peers
     rng = random.Random()
     loops: dict[str, Loop] = {
         "sync_log": member.sync_own_log,
         "apply": member.apply_committed,
         "elections": lambda: run_elections(member=member, transport=peers, rng=rng),
         "replication": lambda: run_replication(member=member, transport=peers),
-        "confirm": lambda: daemon.group.confirm(member),
+        "confirm": lambda: daemon.control.confirm(member),
         "jobs": daemon.jobs.scheduler.run,
-        "lost_homes": daemon.jobs.lost_homes.run,
+        "lost_homes": daemon.jobs.home_monitor.run,
         "fleet": daemon.fleet.controller.run,
     }
-    if daemon.jobs.unordered_runs is not None:
-        loops["unordered_runs"] = daemon.jobs.unordered_runs.run
+    if daemon.jobs.run_revoker is not None:
+        loops["unordered_runs"] = daemon.jobs.run_revoker.run
     return loops
 
 
@@ -70,7 +70,7 @@
             return
         except Exception as error:
             log_event(Event.TASK_FAILED, task=name, error=repr(error))
-            await asyncio.sleep(RESTART_S)
+            await asyncio.sleep(RESTART_DELAY_S)
 
 
 __all__ = ["start_tasks"]
--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that hold and change the agreed state."""
+"""Components of a daemon that hold and change the replicated state."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
 from hyssopway.replica import Freshness, Proposer, Replica, Submitter, follow_leader, follow_upstream
 from hyssopway.settings import peer_client_context
 
-from .applied_times import SAMPLE_S, AppliedTimes
-from .members import Members
+from .applied_index_history import SAMPLE_INTERVAL_S, AppliedIndexHistory
+from .membership_manager import MembershipManager
 
 if TYPE_CHECKING:
     from hyssopway.clock import Clock
     from hyssopway.settings import DaemonSettings
 
 
-class ControlGroup:
-    """Replica, control member and the ways to the other daemons.
+class ControlComponents:
+    """Replica, control member and the clients of the other daemons.
 
     Attributes:
         settings: Settings of the daemon.
         clock: Monotonic seconds.
-        replica: Agreed state.
-        freshness: How current the replica is.
-        cluster_clock: Time in the agreed state.
-        applied_times: When this process reached recent log indexes.
+        replica: Local copy of the replicated state.
+        freshness: Age of the last confirmation that the replica is current.
+        cluster_clock: Cluster clock.
+        applied_index_history: Times at which this process applied recent log indexes.
         peers: Clients of the other daemons.
-        member: Control member; None without a disk.
-        proposer: Way into the log on this daemon; None without a disk.
-        submitter: Way to the leader.
-        members: Control members as operators see them.
+        member: Control member; None on a daemon without a data folder.
+        proposer: Proposes commands to this daemon's log; None on a daemon without a data folder.
+        submitter: Submits commands to the leader.
+        membership: Lists and changes control members for operators.
     """
 
     __slots__ = (
-        "cluster_clock",
-        "applied_times",
+        "applied_index_history",
         "clock",
+        "cluster_clock",
         "freshness",
         "member",
-        "members",
+        "membership",
         "peers",
         "proposer",
         "replica",
@@ -58,7 +58,9 @@
         self.replica = Replica()
         self.freshness = Freshness(clock=clock)
         self.cluster_clock = ClusterClock(clock=clock)
-        self.applied_times = AppliedTimes(clock=clock, read_index=lambda: self.replica.state.applied_index)
+        self.applied_index_history = AppliedIndexHistory(
+            clock=clock, read_index=lambda: self.replica.state.applied_index
+        )
         tls = settings.tls
         self.peers = PeerDirectory(settings=settings, tls=peer_client_context(tls) if tls else None)
         self.member = self._build_member()
@@ -72,7 +74,7 @@
             replica=self.replica,
             clock=clock,
         )
-        self.members = Members(
+        self.membership = MembershipManager(
             own_name=settings.name,
             member=self.member,
             peers=self.peers,
@@ -81,15 +83,15 @@
         )
 
     def leads(self) -> bool:
-        """Tells whether this daemon leads its region."""
+        """Returns whether this daemon is the leader."""
         return self.member is not None and self.member.is_leader
 
     def now_ms(self) -> int:
-        """Returns agreed time; on a daemon that does not lead it may lag behind the leader's."""
+        """Returns the cluster time in milliseconds; on a follower it may lag behind the leader's."""
         return self.cluster_clock.read_ms(applied_ms=self.replica.state.tables.now_ms)
 
     async def confirm(self, member: Member) -> None:
-        """Keeps the freshness of a daemon with a member, which gets entries from the leader's log."""
+        """Keeps the freshness up to date on a daemon whose member receives entries from the leader."""
         await follow_leader(
             replica=self.replica,
             freshness=self.freshness,
@@ -100,7 +102,7 @@
         )
 
     async def watch(self) -> None:
-        """Keeps the replica of a daemon without a member up to date."""
+        """Keeps the replica up to date on a daemon without a member."""
         await follow_upstream(
             replica=self.replica,
             freshness=self.freshness,
@@ -111,8 +113,8 @@
     async def sample_index(self) -> None:
         """Samples the applied index for as long as the daemon runs."""
         while True:
-            self.applied_times.sample()
-            await asyncio.sleep(SAMPLE_S)
+            self.applied_index_history.sample()
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     def _build_member(self) -> Member | None:
         if self.settings.data_dir is None:
@@ -137,9 +139,9 @@
 
 
 def nearest_first(settings: DaemonSettings) -> list[str]:
-    """Returns the other daemons, those of the own zone first."""
+    """Returns the names of the other daemons, those in the same zone first."""
     others = sorted(settings.others(), key=lambda peer: (peer.zone != settings.zone, peer.name))
     return [peer.name for peer in others]
 
 
-__all__ = ["ControlGroup", "nearest_first"]
+__all__ = ["ControlComponents", "nearest_first"]
--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -14,41 +14,41 @@
 from hyssopway.settings import http_context, peer_server_context
 
 from .background_tasks import start_tasks
-from .control_group import ControlGroup
+from .control_components import ControlComponents
 from .dump import dump_daemon
-from .exchanges import list_exchanges
-from .fleet_parts import FleetParts
+from .exchange_handlers import build_exchange_handlers
+from .fleet_components import FleetComponents
 from .http_application import HttpApplication
-from .job_path import JobPath
-from .opening import open_member
+from .job_components import JobComponents
+from .member_startup import open_member
 from .peer_calls import PeerCallHandler
 from .reloading import reload_settings
-from .request_path import RequestPath
+from .request_components import RequestComponents
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from hyssopway.settings import DaemonSettings
 
-CLAIMS_FINISH_S = 5.0
+CLAIMS_TIMEOUT_S = 5.0
 
 
 class Daemon:
-    """All parts of one daemon.
+    """One daemon process with all its components.
 
     Attributes:
-        settings: Its settings.
+        settings: Settings of the daemon.
         initialise: Whether a new group of control members is started on an empty data folder.
-        stopping: Whether health is reported as failing so that the balancer looks elsewhere.
-        tasks: Tasks that run for as long as the daemon; `background_tasks` lists them.
-        group: Agreed state and ways to the other daemons.
-        replica: Agreed state.
-        freshness: How current the replica is.
-        member: Control member; None without a disk.
-        requests: Request path.
-        fleet: Maintenance of the fleet.
-        calls: Answers to other daemons; `exchanges` lists the topics.
-        jobs: Job path.
+        stopping: Whether the health check fails so that the load balancer stops sending requests.
+        tasks: Background tasks; `background_tasks` lists them.
+        control: Replicated state and clients of the other daemons.
+        replica: Local copy of the replicated state.
+        freshness: Age of the last confirmation that the replica is current.
+        member: Control member; None on a daemon without a data folder.
+        requests: Components that forward requests to endpoints.
+        fleet: Components that maintain the fleet.
+        peer_calls: Handles calls of other daemons; `exchange_handlers` lists the topics.
+        jobs: Components that place jobs and control runs.
         http: HTTP application.
     """
 
@@ -57,28 +57,28 @@
         self.initialise = initialise
         self.stopping = False
         self.tasks: list[asyncio.Task[None]] = []
-        self.group = ControlGroup(settings=settings, clock=monotonic_s)
-        self.replica = self.group.replica
-        self.freshness = self.group.freshness
-        self.member = self.group.member
-        self.requests = RequestPath(group=self.group)
-        self.fleet = FleetParts(group=self.group, requests=self.requests)
-        self.calls = PeerCallHandler(
+        self.control = ControlComponents(settings=settings, clock=monotonic_s)
+        self.replica = self.control.replica
+        self.freshness = self.control.freshness
+        self.member = self.control.member
+        self.requests = RequestComponents(control=self.control)
+        self.fleet = FleetComponents(control=self.control, requests=self.requests)
+        self.peer_calls = PeerCallHandler(
             member=self.member,
-            proposer=self.group.proposer,
+            proposer=self.control.proposer,
             replica=self.replica,
             freshness=self.freshness,
             ledger=self.requests.ledger,
             router=self.requests.router,
         )
-        self.calls.reported_contacts = {}
-        self.jobs = JobPath(group=self.group, fleet=self.fleet, calls=self.calls)
-        self.calls.exchanges.update(list_exchanges(self))
-        self.peer_server = PeerServer(handlers=self.calls, token=settings.peer_token)
+        self.peer_calls.reported_contacts = {}
+        self.jobs = JobComponents(control=self.control, fleet=self.fleet, peer_calls=self.peer_calls)
+        self.peer_calls.exchange_handlers.update(build_exchange_handlers(self))
+        self.peer_server = PeerServer(handlers=self.peer_calls, token=settings.peer_token)
         self.http = HttpApplication(daemon=self)
 
     async def start(self) -> None:
-        """Opens durable state, starts all tasks and listens."""
+        """Opens the data folder, starts all background tasks and listens on the peer and HTTP ports."""
         own = self.settings.own
         if self.member is not None:
             await open_member(self, member=self.member)
@@ -106,25 +106,25 @@
     async def stop(self) -> None:
         """Stops gracefully.
 
-        Health turns first, and everything is still served until the balancer looks elsewhere. Then no new
-        connection is accepted, and all requests in progress finish.
+        The health check fails first, and all requests are still served until the load balancer has stopped
+        sending them. After that, no new connection is accepted and all requests in progress finish.
         """
         self.stopping = True
         log_event(Event.DAEMON_DRAINING, seconds=self.settings.drain_health_s)
         await asyncio.sleep(self.settings.drain_health_s)
         log_event(Event.DAEMON_STOPPING, open_requests=self.requests.gateway.open_requests)
         await self.listener.close(finish=self.requests.gateway.wait_idle)
-        await self.requests.claims.finish(timeout_s=CLAIMS_FINISH_S)
-        # An answer after the message would look like a new start of this daemon.
+        await self.requests.claims.finish(timeout_s=CLAIMS_TIMEOUT_S)
+        # Other daemons would take an answer after the stop announcement for a restart of this daemon.
         for topic in (SUMMARY_TOPIC, VM_REQUESTS_TOPIC):
-            self.calls.exchanges.pop(topic)
+            self.peer_calls.exchange_handlers.pop(topic)
         await self.fleet.vm_requests.announce_stop(self.settings.name)
         for task in self.tasks:
             task.cancel()
         self.requests.router.close()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.peer_server.close()
-        self.group.peers.close()
+        self.control.peers.close()
         await self.requests.close()
         await self.fleet.close()
         if self.member is not None:
@@ -132,11 +132,11 @@
         log_event(Event.DAEMON_STOPPED)
 
     def dump(self) -> dict[str, Any]:
-        """Returns the state of this process."""
+        """Returns a dump of the state of this process, without secrets."""
         return dump_daemon(self)
 
     def reload(self, path: Path) -> None:
-        """Takes over a changed settings file."""
+        """Reloads the settings file."""
         reload_settings(self, path=path)
 
 
--- a/src/hyssopway/daemon/dump.py
+++ b/src/hyssopway/daemon/dump.py
@@ -1,4 +1,4 @@
-"""Dump of the state of one process."""
+"""State dump of one process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def dump_daemon(daemon: Daemon) -> dict[str, Any]:
-    """Returns everything that one process knows, without secrets."""
+    """Returns the state of one process, without secrets."""
     return {
         "daemon": daemon.settings.name,
         "zone": daemon.settings.zone,
--- a/src/hyssopway/daemon/exchanges.py
+++ b/src/hyssopway/daemon/exchange_handlers.py
@@ -1,4 +1,4 @@
-"""All topics on which daemons exchange soft state."""
+"""Topics on which daemons exchange in-memory state, and their handlers."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from hyssopway.fleet import ENTRY_STOPPED_TOPIC, VM_REQUESTS_TOPIC
 from hyssopway.routing import GRANTS_TOPIC, SUMMARY_TOPIC
 
-from .load_push import LOAD_TOPIC, take_loads
-from .members import CHANGE_TOPIC, LIST_TOPIC, STATUS_TOPIC
+from .load_reports import LOAD_TOPIC, record_load_report
+from .membership_manager import CHANGE_TOPIC, LIST_TOPIC, STATUS_TOPIC
 from .status import own_status
 
 if TYPE_CHECKING:
@@ -17,18 +17,18 @@
     from .daemon import Daemon
 
 
-def list_exchanges(daemon: Daemon) -> dict[str, Callable[[Any], Any]]:
-    """Returns the answer to each topic."""
+def build_exchange_handlers(daemon: Daemon) -> dict[str, Callable[[Any], Any]]:
+    """Returns the handler of each topic."""
     return {
-        LOAD_TOPIC: lambda loads: take_loads(daemon, loads),
+        LOAD_TOPIC: lambda loads: record_load_report(daemon, loads),
         SUMMARY_TOPIC: daemon.requests.homes.answer,
         STATUS_TOPIC: lambda _: own_status(daemon),
-        LIST_TOPIC: daemon.group.members.answer_list,
-        CHANGE_TOPIC: daemon.group.members.answer_change,
+        LIST_TOPIC: daemon.control.membership.handle_list,
+        CHANGE_TOPIC: daemon.control.membership.handle_change,
         GRANTS_TOPIC: daemon.requests.collector.own_grants,
         VM_REQUESTS_TOPIC: daemon.fleet.vm_requests.build_report,
         ENTRY_STOPPED_TOPIC: daemon.fleet.vm_requests.record_stop,
     }
 
 
-__all__ = ["list_exchanges"]
+__all__ = ["build_exchange_handlers"]
--- /dev/null
+++ b/src/hyssopway/daemon/fleet_components.py
@@ -0,0 +1,59 @@
+"""Components of a daemon that maintain the fleet."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from hyssopway.fleet import FleetController, Rebooter, VmRequestCounter
+from hyssopway.platform import PlatformClient
+
+if TYPE_CHECKING:
+    from .control_components import ControlComponents
+    from .request_components import RequestComponents
+
+
+class FleetComponents:
+    """Counter of requests in progress on VMs, fleet controller and platform client.
+
+    Attributes:
+        control: Replicated state and clients of the other daemons.
+        requests: Components that forward requests to endpoints.
+        platform: Client of the platform; None before `open` and without a platform URL.
+        vm_requests: Counts the requests in progress on a VM.
+        controller: Controls drains, moves, waves and zones; active only on the leader.
+    """
+
+    __slots__ = ("control", "controller", "platform", "requests", "vm_requests")
+
+    def __init__(self, *, control: ControlComponents, requests: RequestComponents) -> None:
+        self.control = control
+        self.requests = requests
+        self.platform: PlatformClient | None = None
+        self.vm_requests = VmRequestCounter(
+            ledger=requests.ledger,
+            router=requests.router,
+            peers=control.peers,
+            replica=control.replica,
+        )
+        self.controller = FleetController(
+            replica=control.replica,
+            submitter=control.submitter,
+            leads=control.leads,
+            clock=control.clock,
+            now_ms=control.now_ms,
+        )
+
+    def open(self) -> None:
+        """Opens the client of the platform if the settings name its URL."""
+        url = self.control.settings.platform_url
+        if url is not None:
+            self.platform = PlatformClient.open(url=url)
+            self.controller.rebooter = Rebooter(platform=self.platform)
+
+    async def close(self) -> None:
+        """Closes the client of the platform."""
+        if self.platform is not None:
+            await self.platform.close()
+
+
+__all__ = ["FleetComponents"]
--- a/src/hyssopway/daemon/fleet_status.py
+++ b/src/hyssopway/daemon/fleet_status.py
@@ -1,4 +1,4 @@
-"""What operators see first about the fleet."""
+"""Fleet section of the status report."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def describe_fleet(state: ControlState, *, now_ms: int) -> dict[str, Any]:
-    """Returns waves under way, permits, zones out of service and questions to the operators."""
+    """Returns active waves, permits, zones out of service and drains that need an operator's decision."""
     tables = state.tables
     return {
         "waves": [
--- a/src/hyssopway/daemon/http_application.py
+++ b/src/hyssopway/daemon/http_application.py
@@ -35,21 +35,21 @@
         daemon: The daemon.
         endpoint_routes: Routes of endpoints.
         worker_routes: Routes of workers.
-        operator_access: What all routes of operators share.
+        operator_access: Authentication and command submission shared by all routes of operators.
     """
 
     __slots__ = ("daemon", "endpoint_routes", "operator_access", "worker_routes")
 
     def __init__(self, *, daemon: Daemon) -> None:
         self.daemon = daemon
-        settings, group = daemon.settings, daemon.group
+        settings, control = daemon.settings, daemon.control
         self.endpoint_routes = EndpointRoutes(registry=daemon.requests.registry, token=settings.fleet_token)
         self.worker_routes = WorkerRoutes(sessions=daemon.jobs.sessions, token=settings.fleet_token)
-        self.operator_access = OperatorAccess(submitter=group.submitter, token=settings.operator_token)
+        self.operator_access = OperatorAccess(submitter=control.submitter, token=settings.operator_token)
 
     def build(self) -> web.Application:
-        """Returns the application; the request path must be open."""
-        settings, group = self.daemon.settings, self.daemon.group
+        """Builds the application; the request components must be open."""
+        settings, control = self.daemon.settings, self.daemon.control
         app = web.Application(
             client_max_size=settings.max_body_bytes,
             middlewares=[self._close_when_stopping, answer_errors],
@@ -58,29 +58,31 @@
         self.daemon.requests.gateway.add_routes(app)
         self.endpoint_routes.add_routes(app)
         self.worker_routes.add_routes(app)
-        JobRoutes(replica=group.replica, freshness=group.freshness, submitter=group.submitter).add_routes(app)
+        JobRoutes(
+            replica=control.replica, freshness=control.freshness, submitter=control.submitter
+        ).add_routes(app)
         self._add_operator_routes(app)
         return app
 
     def _add_operator_routes(self, app: web.Application) -> None:
-        daemon, group, access = self.daemon, self.daemon.group, self.operator_access
-        MemberRoutes(members=group.members, replica=group.replica, access=access).add_routes(app)
+        daemon, control, access = self.daemon, self.daemon.control, self.operator_access
+        MemberRoutes(membership=control.membership, replica=control.replica, access=access).add_routes(app)
         OperatorRoutes(
-            replica=group.replica,
+            replica=control.replica,
             access=access,
             read_status=lambda index: collect_status(daemon, index=index),
             read_dump=daemon.dump,
-            # The gateway is built later than the routes.
+            # Looked up at each call: the gateway does not exist yet when this object is created.
             find_requests=lambda request_id: list(daemon.requests.gateway.records.find(request_id)),
         ).add_routes(app)
         for routes in (WaveRoutes, FleetRoutes):
-            routes(replica=group.replica, access=access, now_ms=group.now_ms).add_routes(app)
+            routes(replica=control.replica, access=access, now_ms=control.now_ms).add_routes(app)
 
     @web.middleware
     async def _close_when_stopping(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         answer = await handler(request)
         if self.daemon.stopping and not answer.prepared:
-            # A caller that keeps its connection would send into its end otherwise.
+            # Otherwise a caller could reuse the connection for a request just before the daemon closes it.
             answer.force_close()
         return answer
 
--- a/src/hyssopway/daemon/opening.py
+++ b/src/hyssopway/daemon/member_startup.py
@@ -1,4 +1,4 @@
-"""Opens the data folder of a daemon."""
+"""Opens the control member of a daemon at startup."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hyssopway.agreement import Configuration, InitialiseRefusedError, StorageError
 from hyssopway.event import Event, log_event
 
-from .status import group_with_state
+from .status import find_initialised_daemon
 
 if TYPE_CHECKING:
     from hyssopway.agreement import Member
@@ -17,13 +17,18 @@
 
 
 async def open_member(daemon: Daemon, *, member: Member) -> None:
-    """Opens the control member; a new group starts only when the daemon was told to initialise."""
+    """Opens the control member; starts a new group only if `--initialise` was given.
+
+    Raises:
+        InitialiseRefusedError: Another daemon already has committed state.
+        StorageError: The data folder cannot be opened.
+    """
     initial = None
     if daemon.initialise and not member.store.is_initialised:
-        # A lost disk must not come back as the voter that it was: it could vote twice in a term.
-        other = await group_with_state(daemon)
+        # A member that lost its disk must not rejoin as the same voter: it could vote twice in a term.
+        other = await find_initialised_daemon(daemon)
         if other:
-            reason = f"{other} already has a group with committed state; start without --initialise"
+            reason = f"daemon {other} already has committed state; start without --initialise"
             log_event(Event.INITIALISE_REFUSED, reason=reason)
             raise InitialiseRefusedError(reason)
         initial = _initial_configuration(daemon.settings)
--- a/src/hyssopway/daemon/members.py
+++ b/src/hyssopway/daemon/membership_manager.py
@@ -24,21 +24,22 @@
 STATUS_TIMEOUT_S = 1.0
 RETRY_S = 0.2
 
-_CHANGES: dict[str, type[AddLearner | PromoteLearner | RemoveMember]] = {
+_CHANGE_TYPES: dict[str, type[AddLearner | PromoteLearner | RemoveMember]] = {
     "add": AddLearner,
     "promote": PromoteLearner,
     "remove": RemoveMember,
 }
 
 
-class Members:
-    """Control members as operators see them.
+class MembershipManager:
+    """Lists and changes control members; other daemons forward their calls to the one on the leader.
 
     Attributes:
         own_name: Name of this daemon.
-        member: Control member of this daemon; None without a disk.
+        member: Control member of this daemon; None without a data folder.
         peers: Clients of the other daemons.
-        daemons: Daemons with a data folder.
+        daemons: Names of the daemons with a data folder.
+        clock: Monotonic seconds.
     """
 
     __slots__ = ("clock", "daemons", "member", "own_name", "peers")
@@ -53,35 +54,37 @@
         self.clock = clock
 
     async def list_members(self, *, timeout_s: float) -> Result[Any, Failure]:
-        """Returns the members as the leader knows them and daemons that wait to be added."""
-        match await self._ask_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
+        """Returns the members known to the leader, and running members that are not added yet."""
+        match await self._call_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
             case Result(tag="ok", ok=found):
                 known = {item["member"] for item in found["members"]}
-                identities = await asyncio.gather(*(self._identity(daemon) for daemon in self.daemons))
+                identities = await asyncio.gather(*(self._fetch_member_id(daemon) for daemon in self.daemons))
                 waiting = sorted(name for name in identities if name and name not in known)
                 return Ok({**found, "waiting": waiting})
             case failed:
                 return failed
 
     async def resolve(self, *, action: str, member: str, timeout_s: float) -> Result[str, Failure]:
-        """Returns the id of a member that is named by its id or its daemon.
+        """Returns the ID of a member that is given by its ID or its daemon.
 
         Args:
             action: One of add, promote, remove.
-            member: Id of a member or name of its daemon.
-            timeout_s: Seconds after which the leader is given up.
+            member: ID of a member or name of its daemon.
+            timeout_s: Timeout of the call to the leader, in seconds.
         """
         if action == "add":
-            # Only a running daemon knows the identity that its data folder got.
-            identity = await self._identity(daemon_of(member)) if daemon_of(member) in self.daemons else ""
+            # The member ID is stored in the data folder, so only the running daemon can report it.
+            identity = (
+                await self._fetch_member_id(daemon_of(member)) if daemon_of(member) in self.daemons else ""
+            )
             if not identity or ("/" in member and member != identity):
-                return Error(_unknown(f"no running control member {member!r} was found"))
+                return Error(_unknown_member(f"no running daemon has the control member {member!r}"))
             return Ok(identity)
-        match await self._ask_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
+        match await self._call_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
             case Result(tag="ok", ok=found):
                 names = [item["member"] for item in found["members"]]
                 known = [name for name in names if member in (name, daemon_of(name))]
-                return Ok(known[0]) if known else Error(_unknown(f"{member!r} is not a member"))
+                return Ok(known[0]) if known else Error(_unknown_member(f"{member!r} is not a member"))
             case Result(error=failure):
                 return Error(failure)
 
@@ -90,43 +93,43 @@
 
         Args:
             action: One of add, promote, remove.
-            member_id: Id of the member.
-            timeout_s: Seconds after which the outcome is given up.
+            member_id: ID of the member.
+            timeout_s: Timeout in seconds; after it the outcome may be unknown.
         """
         body = {"action": action, "member": member_id}
-        return await self._ask_leader(topic=CHANGE_TOPIC, body=body, timeout_s=timeout_s)
+        return await self._call_leader(topic=CHANGE_TOPIC, body=body, timeout_s=timeout_s)
 
-    def answer_list(self, _: Any) -> dict[str, Any]:
-        """Answers another daemon that asks for the members."""
+    def handle_list(self, _: Any) -> dict[str, Any]:
+        """Handles a call of another daemon that lists the members."""
         member = self.member
         if member is None or not member.is_leader:
             return _not_leader(member)
-        return {"found": {"leader": member.member_id, "members": _describe(member, now=self.clock())}}
+        return {"found": {"leader": member.member_id, "members": _describe_members(member, now=self.clock())}}
 
-    async def answer_change(self, body: Any) -> dict[str, Any]:
-        """Answers another daemon that passes on a change."""
+    async def handle_change(self, body: Any) -> dict[str, Any]:
+        """Handles a change that another daemon forwards."""
         member = self.member
         if member is None or not member.is_leader:
             return _not_leader(member)
-        change = _CHANGES[body["action"]](member_id=_resolve(member, name=body["member"]))
+        change = _CHANGE_TYPES[body["action"]](member_id=_resolve_member_id(member, name=body["member"]))
         return await _change(member, change=change)
 
-    async def _ask_leader(self, *, topic: str, body: Any, timeout_s: float) -> Result[Any, Failure]:
+    async def _call_leader(self, *, topic: str, body: Any, timeout_s: float) -> Result[Any, Failure]:
         deadline = self.clock() + timeout_s
         hint, attempt, sent = "", 0, False
         while self.clock() < deadline:
-            target = hint or self._own_hint() or self.daemons[attempt % len(self.daemons)]
+            target = hint or self._known_leader() or self.daemons[attempt % len(self.daemons)]
             attempt += 1
             answer: dict[str, Any] = {}
             try:
-                answer = await self._ask(target, topic=topic, body=body)
+                answer = await self._call(target, topic=topic, body=body)
             except PeerUnreachableError:
                 sent = True
             if "found" in answer:
                 return Ok(answer["found"])
             failure = answer.get("failure", {})
             if sent and body.get("action") == "remove" and failure.get("code") == ResultCode.UNKNOWN_MEMBER:
-                # The first try removed it and its answer was lost.
+                # An earlier attempt removed the member and its answer was lost.
                 return Ok({"member": body["member"]})
             if failure and failure["code"] != ResultCode.NOT_LEADER:
                 return Error(
@@ -144,10 +147,10 @@
         work = WorkState.MAY_HAVE_RUN if code is ResultCode.OUTCOME_UNKNOWN else WorkState.NOT_RUN
         return Error(Failure(code=code, message="no leader answered in time", work=work, retry_after_s=1.0))
 
-    async def _ask(self, target: str, *, topic: str, body: Any) -> dict[str, Any]:
+    async def _call(self, target: str, *, topic: str, body: Any) -> dict[str, Any]:
         if target == self.own_name:
-            # Encoded like the answer of another daemon, so that a failure reads the same.
-            own = self.answer_list(body) if topic == LIST_TOPIC else await self.answer_change(body)
+            # Encoded and decoded like the answer of another daemon, so that failures have the same form.
+            own = self.handle_list(body) if topic == LIST_TOPIC else await self.handle_change(body)
             raw = to_json(own, inf_nan_mode="null")
         else:
             client = self.peers.client(target)
@@ -155,10 +158,10 @@
         found: dict[str, Any] = from_json(raw)
         return found
 
-    def _own_hint(self) -> str:
+    def _known_leader(self) -> str:
         return self.member.leader_daemon if self.member is not None else ""
 
-    async def _identity(self, daemon: str) -> str:
+    async def _fetch_member_id(self, daemon: str) -> str:
         if daemon == self.own_name:
             return self.member.member_id if self.member is not None else ""
         try:
@@ -177,12 +180,12 @@
             return {"failure": failure, "leader": member.leader_daemon}
 
 
-def _resolve(member: Member, *, name: str) -> str:
+def _resolve_member_id(member: Member, *, name: str) -> str:
     found = [item for item in member.configuration.members if name in (item, daemon_of(item))]
     return found[0] if found else name
 
 
-def _describe(member: Member, *, now: float) -> list[dict[str, Any]]:
+def _describe_members(member: Member, *, now: float) -> list[dict[str, Any]]:
     return [
         {
             "member": name,
@@ -197,13 +200,13 @@
     ]
 
 
-def _unknown(message: str) -> Failure:
+def _unknown_member(message: str) -> Failure:
     return Failure(code=ResultCode.UNKNOWN_MEMBER, message=message)
 
 
 def _not_leader(member: Member | None) -> dict[str, Any]:
-    failure = Failure(code=ResultCode.NOT_LEADER, message="this daemon does not lead")
+    failure = Failure(code=ResultCode.NOT_LEADER, message="this daemon is not the leader")
     return {"failure": failure, "leader": member.leader_daemon if member else ""}
 
 
-__all__ = ["CHANGE_TOPIC", "LIST_TOPIC", "STATUS_TOPIC", "Members"]
+__all__ = ["CHANGE_TOPIC", "LIST_TOPIC", "STATUS_TOPIC", "MembershipManager"]
--- a/src/hyssopway/daemon/peer_calls.py
+++ b/src/hyssopway/daemon/peer_calls.py
@@ -1,4 +1,4 @@
-"""Answers calls of other daemons."""
+"""Handles calls of other daemons."""
 
 from __future__ import annotations
 
@@ -44,34 +44,34 @@
     """Implements `PeerHandlers` for one daemon.
 
     Attributes:
-        member: Control member; None without a disk.
-        proposer: Way into the log; None without a disk.
-        replica: Agreed state.
-        freshness: How current the replica is.
+        member: Control member; None on a daemon without a data folder.
+        proposer: Proposes commands to the log; None on a daemon without a data folder.
+        replica: Local copy of the replicated state.
+        freshness: Age of the last confirmation that the replica is current.
         ledger: Slot credits of endpoints whose home is this daemon.
         router: Slot credits held by this daemon.
         contacts: Local time of the last confirm or watch call of each daemon.
-        reported_contacts: Local time of the last contact of each daemon that the leader has learned of from here; None
-            where watchers are confirmed without that.
-        covered: Largest index that this daemon confirmed to each daemon as leader.
-        withheld: Daemons that get no confirmation while runs placed there are taken back.
-        exchanges: Answers to exchanges of soft state by topic.
-        parts: Snapshot of a leader while it arrives.
+        reported_contacts: Local time of the last contact of each daemon that this daemon has reported to the
+            leader; None if watchers are confirmed without such reports.
+        confirmed_indexes: Largest index that this daemon confirmed to each daemon while it was the leader.
+        undecided_ends: Run ends that are not decided yet, by home; such a home gets no confirmation.
+        exchange_handlers: Handlers of exchanges of in-memory state, by topic.
+        snapshot_assembler: Collects the chunks of a snapshot that the leader sends.
     """
 
     __slots__ = (
+        "confirmed_indexes",
         "contacts",
-        "covered",
-        "exchanges",
+        "exchange_handlers",
         "freshness",
         "ledger",
         "member",
-        "parts",
         "proposer",
         "replica",
-        "router",
         "reported_contacts",
-        "withheld",
+        "router",
+        "snapshot_assembler",
+        "undecided_ends",
     )
 
     def __init__(
@@ -91,14 +91,14 @@
         self.ledger = ledger
         self.contacts: dict[str, float] = {}
         self.reported_contacts: dict[str, float] | None = None
-        self.covered: dict[str, int] = {}
-        self.withheld: dict[str, list[EndRun]] = {}
+        self.confirmed_indexes: dict[str, int] = {}
+        self.undecided_ends: dict[str, list[EndRun]] = {}
         self.router = router
-        self.exchanges: dict[str, Callable[[Any], Any]] = {}
-        self.parts = SnapshotAssembler()
+        self.exchange_handlers: dict[str, Callable[[Any], Any]] = {}
+        self.snapshot_assembler = SnapshotAssembler()
 
     def note_connection_lost(self, daemon: str) -> None:
-        """Doubts the leader when its connection ends: its process may have ended with it."""
+        """Suspects the leader if its connection ends, because its process may have ended too."""
         if self.member is not None and daemon == self.member.leader_daemon:
             self.member.leader_suspicion.start()
 
@@ -107,17 +107,21 @@
         return await run_to_completion(answer_vote(member=self._member(), request=request))
 
     async def append(self, request: AppendRequest) -> AppendReply:
-        """Takes entries of a leader."""
+        """Handles an append request of the leader."""
         return await run_to_completion(answer_append(member=self._member(), request=request))
 
     async def install_snapshot(self, chunk: SnapshotChunk) -> AppendReply:
-        """Takes a part of a snapshot."""
+        """Handles a chunk of a snapshot that the leader sends."""
         return await run_to_completion(
-            answer_snapshot(member=self._member(), assembler=self.parts, chunk=chunk)
+            answer_snapshot(member=self._member(), assembler=self.snapshot_assembler, chunk=chunk)
         )
 
     async def propose(self, command: bytes) -> ProposeReply:
-        """Proposes a command if this daemon leads."""
+        """Proposes a command if this daemon is the leader.
+
+        Raises:
+            TimeoutError: The proposal failed although this daemon leads; its outcome may be unknown.
+        """
         if self.proposer is None:
             return ProposeReply(accepted=False)
         match await self.proposer.propose(command=command, timeout_s=PROPOSE_TIMEOUT_S):
@@ -129,23 +133,23 @@
                 raise TimeoutError(failure.message)
 
     async def confirm(self, daemon: str) -> ConfirmReply:
-        """Says how fresh the leader's knowledge is."""
+        """Returns the commit index and the age in seconds of the last quorum acknowledgement."""
         member = self._member()
         self.contacts[daemon] = self.freshness.clock()
-        if daemon in self.withheld:
+        if daemon in self.undecided_ends:
             return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=inf)
         age_s = member.clock() - member.quorum_acked_at()
         if isfinite(age_s):
-            self.covered[daemon] = member.commit_index
+            self.confirmed_indexes[daemon] = member.commit_index
         return ConfirmReply(commit_index=member.commit_index, confirmed_age_s=age_s)
 
     async def watch(self, *, daemon: str, from_index: int, wait_s: float) -> WatchReply:
-        """Returns entries behind an index, waiting for the first."""
+        """Returns the entries after an index and waits up to `wait_s` seconds for the first."""
         started = self.freshness.clock()
         self.contacts[daemon] = started
         await self.replica.wait_beyond(from_index, timeout_s=wait_s)
         waited_s = self.freshness.clock() - started
-        # The answer confirms the watcher up to now, not up to its question.
+        # The answer confirms the watcher up to this time, not up to the time of its request.
         self.contacts[daemon] = self.freshness.clock()
         entries = self.replica.entries_after(from_index)
         if entries is None or sum(map(len, entries)) > MAX_WATCH_ENTRIES_BYTES:
@@ -155,35 +159,35 @@
             first_index=from_index + 1,
             entries=entries,
             applied_index=self.replica.applied_index,
-            confirmed_age_s=max(self.freshness.age_s, self._vouched_age_s(daemon)),
+            confirmed_age_s=max(self.freshness.age_s, self._reported_contact_age_s(daemon)),
             waited_s=waited_s,
         )
 
     async def read_snapshot(self, *, offset: int) -> SnapshotPart:
-        """Returns a part of the state."""
+        """Returns a part of a snapshot of the state."""
         index, data = self.replica.cached_snapshot(offset=offset)
         return SnapshotPart(data=data[offset : offset + SNAPSHOT_PART_BYTES], index=index, total=len(data))
 
     async def credits(self, request: CreditRequest) -> CreditReply:
-        """Hands out slot credits of endpoints that announced themselves here."""
+        """Grants slot credits of endpoints whose home is this daemon."""
         return self.ledger.answer(request)
 
     async def held_credits(self, *, daemon: str, endpoint: str) -> list[Credit]:
-        """Returns the credits held here for an endpoint whose home is now the daemon that asks."""
+        """Returns the credits held here for an endpoint whose home is now the calling daemon."""
         return self.router.hand_over(endpoint=endpoint, home=daemon)
 
     async def exchange(self, *, topic: str, data: bytes) -> bytes:
-        """Takes and returns soft state."""
-        answer = self.exchanges[topic](from_json(data))
+        """Passes in-memory state to the handler of a topic and returns its answer, both as JSON."""
+        answer = self.exchange_handlers[topic](from_json(data))
         if isawaitable(answer):
             answer = await answer
         return to_json(answer, inf_nan_mode="null")
 
-    def _vouched_age_s(self, daemon: str) -> float:
-        """Returns the age of the last contact of a watcher that the leader knows of.
+    def _reported_contact_age_s(self, daemon: str) -> float:
+        """Returns the age in seconds of the last contact of a watcher that was reported to the leader.
 
-        The leader ends the runs of a home that it has not heard of for long. A watcher must not be
-        confirmed for later than that, or it would renew leases of runs that are placed again.
+        The leader ends the runs of a home that has been out of contact for too long. A watcher must not be
+        confirmed beyond its last reported contact, or it would renew leases of runs that are placed again.
         """
         if self.reported_contacts is None or (self.member is not None and self.member.is_leader):
             return 0.0
@@ -191,7 +195,7 @@
 
     def _member(self) -> Member:
         if self.member is None:
-            raise RuntimeError("this daemon carries no control member")
+            raise RuntimeError("this daemon has no control member")
         return self.member
 
 
--- a/src/hyssopway/daemon/reloading.py
+++ b/src/hyssopway/daemon/reloading.py
@@ -1,4 +1,4 @@
-"""Takes changed settings into a running daemon."""
+"""Reloads the settings of a running daemon."""
 
 from __future__ import annotations
 
@@ -30,20 +30,21 @@
 
 
 def reload_settings(daemon: Daemon, *, path: Path) -> None:
-    """Reads a settings file again and takes over what can change while the daemon runs.
+    """Reads the settings file again and applies the fields that can change while the daemon runs.
 
-    A file with any problem changes nothing. Fields that need a restart keep their values and are named.
+    A file with any problem changes nothing. Changed fields that need a restart keep their values and are
+    logged.
     """
     match load_settings(path):
         case Result(tag="ok", ok=settings):
-            _take_over(daemon, settings=settings)
+            _apply_settings(daemon, settings=settings)
             log_event(Event.SETTINGS_RELOADED, path=str(path))
         case Result(error=problems):
             for problem in problems:
                 log_event(Event.SETTINGS_REJECTED, problem=str(problem))
 
 
-def _take_over(daemon: Daemon, *, settings: DaemonSettings) -> None:
+def _apply_settings(daemon: Daemon, *, settings: DaemonSettings) -> None:
     current = daemon.settings
     changed = {
         field.name
@@ -55,9 +56,9 @@
     daemon.http.operator_access.token = current.operator_token
     daemon.http.endpoint_routes.token = current.fleet_token
     daemon.http.worker_routes.token = current.fleet_token
-    # Connections that are open keep their authentication; the new secret counts from the next one.
+    # Open connections stay authenticated; the new secret applies to new connections.
     daemon.peer_server.token = current.peer_token
-    for client in daemon.group.peers.clients.values():
+    for client in daemon.control.peers.clients.values():
         client.token = current.peer_token
     if changed & {"log_level", "log_json"}:
         set_up_logging(level=current.log_level, json_output=current.log_json)
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that bring requests to endpoints."""
+"""Components of a daemon that forward requests to endpoints."""
 
 from __future__ import annotations
 
@@ -14,38 +14,38 @@
 from hyssopway.metrics import Metrics
 from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
 
-from .control_group import nearest_first
+from .control_components import nearest_first
 
 if TYPE_CHECKING:
     import aiohttp
 
-    from .control_group import ControlGroup
+    from .control_components import ControlComponents
 
-EXPIRE_S = 0.25
+EXPIRY_INTERVAL_S = 0.25
 
 
-class RequestPath:
+class RequestComponents:
     """Endpoints, slot credits and the gateway of callers.
 
     Attributes:
-        group: Agreed state and ways to the other daemons.
+        control: Replicated state and clients of the other daemons.
         metrics: Latencies and counters of requests.
         registry: Endpoints whose home is this daemon.
         ledger: Slot credits issued by this daemon.
-        homes: Summaries of endpoints at all homes.
-        router: Slot credits held by this daemon and queues of requests.
-        collector: Finds the credits that are still held when an endpoint arrives.
-        session: Client of endpoints.
-        once_session: Client of endpoints for requests that must not run twice.
+        homes: Endpoint summaries of all homes.
+        router: Slot credits held by this daemon and request queues.
+        collector: Collects the credits that other daemons still hold when an endpoint registers.
+        session: HTTP client of endpoints; reuses connections.
+        once_session: HTTP client with a new connection per request, for requests that must not run twice.
         claims: Claims of non-idempotent requests.
-        gateway: Interface of callers.
+        gateway: HTTP interface for callers.
     """
 
     __slots__ = (
         "claims",
         "collector",
+        "control",
         "gateway",
-        "group",
         "homes",
         "ledger",
         "metrics",
@@ -60,16 +60,16 @@
     claims: ClaimKeeper
     gateway: Gateway
 
-    def __init__(self, *, group: ControlGroup) -> None:
-        self.group = group
-        settings, clock = group.settings, group.clock
+    def __init__(self, *, control: ControlComponents) -> None:
+        self.control = control
+        settings, clock = control.settings, control.clock
         self.metrics = Metrics()
         self.registry = EndpointRegistry(clock=clock, may_serve=self._vm_may_serve)
         self.ledger = CreditLedger(registry=self.registry, clock=clock, entries=len(settings.peers))
         self.homes = Homes(
             own_name=settings.name,
             ledger=self.ledger,
-            peers=group.peers,
+            peers=control.peers,
             others={peer.name: peer.zone == settings.zone for peer in settings.others()},
             clock=clock,
         )
@@ -78,49 +78,49 @@
             own_name=settings.name,
             ledger=self.ledger,
             router=self.router,
-            peers=group.peers,
+            peers=control.peers,
             others=nearest_first(settings),
             near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
         )
         self.registry.arrived = self.collector.begin
 
     def open(self) -> None:
-        """Opens the clients, which need a running loop, and builds the gateway."""
-        group = self.group
+        """Opens the HTTP clients, which need a running event loop, and builds the gateway."""
+        control = self.control
         self.session = open_session(reuse_connections=True)
         self.once_session = open_session(reuse_connections=False)
-        self.claims = ClaimKeeper(own_name=group.settings.name, submitter=group.submitter)
+        self.claims = ClaimKeeper(own_name=control.settings.name, submitter=control.submitter)
         self.gateway = Gateway(
-            replica=group.replica,
-            freshness=group.freshness,
+            replica=control.replica,
+            freshness=control.freshness,
             router=self.router,
             forwarder=Forwarder(
                 claims=self.claims,
                 session=self.session,
                 once_session=self.once_session,
-                clock=group.clock,
+                clock=control.clock,
             ),
             metrics=self.metrics,
-            max_body_bytes=group.settings.max_body_bytes,
-            clock=group.clock,
+            max_body_bytes=control.settings.max_body_bytes,
+            clock=control.clock,
         )
 
     async def close(self) -> None:
-        """Closes the clients."""
+        """Closes the HTTP clients."""
         await self.session.close()
         await self.once_session.close()
 
     async def expire(self) -> None:
-        """Ends leases of endpoints and credits for as long as the daemon runs."""
+        """Expires endpoint leases and credits for the lifetime of the daemon."""
         while True:
             self.registry.expire()
             self.ledger.expire()
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
 
     def _vm_may_serve(self, name: str) -> bool:
-        # A VM without a worker is not in the agreed state and is not drained by it.
-        vm = self.group.replica.state.tables.vms.get(name)
+        # A VM without a worker is not in the replicated state, so it cannot be drained through it.
+        vm = self.control.replica.state.tables.vms.get(name)
         return vm is None or vm.state is VmState.READY
 
 
-__all__ = ["RequestPath"]
+__all__ = ["RequestComponents"]
--- a/src/hyssopway/daemon/status.py
+++ b/src/hyssopway/daemon/status.py
@@ -1,4 +1,4 @@
-"""Status of this daemon and of all others."""
+"""Status of this daemon and of the whole deployment."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def own_status(daemon: Daemon) -> dict[str, Any]:
-    """Returns what other daemons show of this one."""
+    """Returns the status of this daemon as it is sent to other daemons."""
     member = daemon.member
     state = daemon.replica.state
     return {
@@ -31,9 +31,9 @@
         "zone": daemon.settings.zone,
         "reachable": True,
         "member_id": member.member_id if member else "",
-        "has_agreed_state": state.tables.wall_ms > 0 or _changed_members(member),
+        "has_agreed_state": state.tables.wall_ms > 0 or _has_committed_configuration(member),
         "role": member.role if member else "entry",
-        "leader": member.leader_daemon if member else daemon.group.submitter.leader,
+        "leader": member.leader_daemon if member else daemon.control.submitter.leader,
         "applied_index": state.applied_index,
         "confirmed": daemon.freshness.is_valid,
         "generation": state.generation(),
@@ -46,25 +46,29 @@
     }
 
 
-def _changed_members(member: Member | None) -> bool:
+def _has_committed_configuration(member: Member | None) -> bool:
     return member is not None and 0 < member.store.configuration_index() <= member.commit_index
 
 
-async def group_with_state(daemon: Daemon) -> str:
-    """Returns a daemon that already knows committed changes; empty when none answers so."""
-    statuses = await asyncio.gather(*(_ask(daemon, name=peer.name) for peer in daemon.settings.others()))
+async def find_initialised_daemon(daemon: Daemon) -> str:
+    """Returns the name of another daemon that already has committed state; empty if none reports any."""
+    statuses = await asyncio.gather(
+        *(_fetch_status(daemon, name=peer.name) for peer in daemon.settings.others())
+    )
     return next((str(status["daemon"]) for status in statuses if status.get("has_agreed_state")), "")
 
 
 async def collect_status(daemon: Daemon, *, index: int | None = None) -> dict[str, Any]:
-    """Asks all daemons and merges their metrics.
+    """Collects the status of all daemons and merges their metrics.
 
     Args:
-        daemon: The daemon that asks.
-        index: Log index whose progress is reported; by default what this daemon has applied.
+        daemon: The calling daemon.
+        index: Log index whose rollout is reported; by default the applied index of this daemon.
     """
     wanted = daemon.replica.state.applied_index if index is None else index
-    statuses = await asyncio.gather(*(_ask(daemon, name=peer.name) for peer in daemon.settings.peers))
+    statuses = await asyncio.gather(
+        *(_fetch_status(daemon, name=peer.name) for peer in daemon.settings.peers)
+    )
     merged = Metrics()
     for status in statuses:
         if "metrics" in status:
@@ -73,7 +77,7 @@
         "daemons": statuses,
         "metrics": merged.summarise(),
         "rollout": _describe_rollout(daemon, statuses=statuses, index=wanted),
-        "fleet": describe_fleet(daemon.replica.state, now_ms=daemon.group.now_ms()),
+        "fleet": describe_fleet(daemon.replica.state, now_ms=daemon.control.now_ms()),
     }
 
 
@@ -86,15 +90,15 @@
         "behind": [status["daemon"] for status in reachable if status["applied_index"] < index],
         "unreachable": [status["daemon"] for status in statuses if not status["reachable"]],
         "authority_ttl_s": AUTHORITY_TTL_S,
-        "old_ends_in_s": daemon.group.applied_times.old_ends_in_s(index),
+        "old_ends_in_s": daemon.control.applied_index_history.stale_authority_left_s(index),
     }
 
 
-async def _ask(daemon: Daemon, *, name: str) -> dict[str, Any]:
+async def _fetch_status(daemon: Daemon, *, name: str) -> dict[str, Any]:
     if name == daemon.settings.name:
         return own_status(daemon)
     try:
-        client = daemon.group.peers.client(name)
+        client = daemon.control.peers.client(name)
         answer = await client.exchange(topic="status", data=b"{}", timeout_s=CALL_TIMEOUT_S)
     except PeerUnreachableError as error:
         zone = daemon.settings.peer(name=name).zone
@@ -103,4 +107,4 @@
     return found
 
 
-__all__ = ["collect_status", "group_with_state", "own_status"]
+__all__ = ["collect_status", "find_initialised_daemon", "own_status"]
--- a/src/hyssopway/operator_api/__init__.py
+++ b/src/hyssopway/operator_api/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP interface for operators, teams, endpoints and workers."""
+"""HTTP API for operators, teams, endpoints and workers."""
 
 from __future__ import annotations
 
--- a/src/hyssopway/operator_api/bodies.py
+++ b/src/hyssopway/operator_api/bodies.py
@@ -1,4 +1,4 @@
-"""Request bodies of operators."""
+"""Request bodies of operators and teams."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CancelBody:
-    """Cancels many jobs.
+    """Cancels several jobs.
 
     Attributes:
-        job_ids: The jobs.
+        job_ids: IDs of the jobs.
     """
 
     job_ids: list[str]
@@ -23,11 +23,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class TrialBody:
-    """Puts a document into the trial environment.
+    """Activates a document in the trial environment.
 
     Attributes:
-        text: The document.
-        expected_generation: Generation that the operator saw.
+        text: Text of the document.
+        expected_generation: Generation that the operator last read; the request fails if it has changed.
     """
 
     text: str
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteBody:
-    """Promotes a tried document.
+    """Promotes the trial document to production.
 
     Attributes:
         digest: Digest of the document.
-        expected_generation: Generation that the operator saw.
+        expected_generation: Generation that the operator last read; the request fails if it has changed.
     """
 
     digest: Annotated[str, Field(pattern=r"^[0-9a-f]{64}$")]
@@ -52,9 +52,9 @@
     """Grants a key whose secret stays with the operator.
 
     Attributes:
-        key_id: Public part.
+        key_id: Public part of the key.
         key_hash: SHA-256 of the secret part, in hexadecimal.
-        team: Team.
+        team: Team that the key belongs to.
     """
 
     key_id: Annotated[str, Field(pattern=r"^[0-9A-Za-z]{1,64}$")]
@@ -68,7 +68,7 @@
 
     Attributes:
         status: New status.
-        expected_epoch: Epoch that the operator saw.
+        expected_epoch: Epoch that the operator last read; None skips the check.
     """
 
     status: ZoneStatus
--- a/src/hyssopway/operator_api/endpoint_routes.py
+++ b/src/hyssopway/operator_api/endpoint_routes.py
@@ -20,11 +20,11 @@
 
 
 class EndpointRoutes:
-    """Lets endpoints announce themselves, renew and leave.
+    """Lets endpoints announce themselves, renew their leases and leave.
 
     Attributes:
         registry: Endpoints whose home is this daemon.
-        token: Secret that endpoints present.
+        token: Fleet token that endpoints must present.
     """
 
     __slots__ = ("registry", "token")
@@ -34,7 +34,7 @@
         self.token = token
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the endpoints' routes."""
+        """Adds the routes to the application."""
         app.router.add_put("/v1/endpoints/{name}", self.announce)
         app.router.add_delete("/v1/endpoints/{name}", self.leave)
 
--- a/src/hyssopway/operator_api/fleet_bodies.py
+++ b/src/hyssopway/operator_api/fleet_bodies.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class VmBody:
-    """Drains a VM or returns it.
+    """Drains a VM or returns it to service.
 
     Attributes:
-        expected_epoch: Epoch of the VM that the operator saw.
+        expected_epoch: Epoch of the VM that the operator last read; the request fails if it has changed.
     """
 
     expected_epoch: int
@@ -23,7 +23,7 @@
     """Moves a VM to another pool.
 
     Attributes:
-        expected_epoch: Epoch of the VM that the operator saw.
+        expected_epoch: Epoch of the VM that the operator last read; the request fails if it has changed.
         target: New pool.
     """
 
@@ -33,11 +33,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DecisionBody:
-    """Answers the question about a drain that does not end.
+    """Decides what happens to the work on a VM whose drain is overdue.
 
     Attributes:
-        expected_epoch: Epoch of the VM that the operator saw.
-        decision: What to do with the work.
+        expected_epoch: Epoch of the VM that the operator last read; the request fails if it has changed.
+        decision: What to do with the remaining work.
     """
 
     expected_epoch: int
@@ -49,7 +49,7 @@
     """Starts a maintenance wave.
 
     Attributes:
-        pools: Pools; all when empty.
+        pools: Names of the pools; empty for all pools.
     """
 
     pools: list[str] = field(default_factory=list)
@@ -60,7 +60,7 @@
     """Pauses, resumes or aborts a maintenance wave.
 
     Attributes:
-        expected_epoch: Epoch of the wave that the operator saw.
+        expected_epoch: Epoch of the wave that the operator last read; the request fails if it has changed.
     """
 
     expected_epoch: int
--- a/src/hyssopway/operator_api/fleet_routes.py
+++ b/src/hyssopway/operator_api/fleet_routes.py
@@ -23,18 +23,18 @@
 
     from .operator_access import OperatorAccess
 
-_VM = TypeAdapter(VmBody)
-_MOVE = TypeAdapter(MoveBody)
-_DECISION = TypeAdapter(DecisionBody)
+_VM_BODY = TypeAdapter(VmBody)
+_MOVE_BODY = TypeAdapter(MoveBody)
+_DECISION_BODY = TypeAdapter(DecisionBody)
 
 
 class FleetRoutes:
     """Lets operators drain, move and return VMs.
 
     Attributes:
-        replica: Agreed state.
-        access: Check of operators and way to the agreed state.
-        now_ms: Returns agreed time.
+        replica: Local copy of the replicated state.
+        access: Authenticates operators and submits their commands.
+        now_ms: Returns the cluster time in milliseconds.
     """
 
     __slots__ = ("access", "now_ms", "replica")
@@ -45,7 +45,7 @@
         self.now_ms = now_ms
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the routes."""
+        """Adds the routes to the application."""
         router, guard = app.router, self.access.guard
         router.add_post("/v1/vms/{vm}/drain", guard(self.drain))
         router.add_post("/v1/vms/{vm}/return", guard(self.return_vm))
@@ -58,14 +58,18 @@
         """Drains a VM."""
         vm = request.match_info["vm"]
         return await self.access.change(
-            request, _VM, lambda body, by: DrainVm(vm=vm, expected_epoch=body.expected_epoch, **by)
+            request,
+            _VM_BODY,
+            lambda body, metadata: DrainVm(vm=vm, expected_epoch=body.expected_epoch, **metadata),
         )
 
     async def return_vm(self, request: web.Request) -> web.Response:
-        """Ends a drain or takes a move back."""
+        """Ends a drain or cancels a move."""
         vm = request.match_info["vm"]
         return await self.access.change(
-            request, _VM, lambda body, by: ReturnVm(vm=vm, expected_epoch=body.expected_epoch, **by)
+            request,
+            _VM_BODY,
+            lambda body, metadata: ReturnVm(vm=vm, expected_epoch=body.expected_epoch, **metadata),
         )
 
     async def move(self, request: web.Request) -> web.Response:
@@ -73,23 +77,25 @@
         vm = request.match_info["vm"]
         return await self.access.change(
             request,
-            _MOVE,
-            lambda body, by: RequestMove(vm=vm, target=body.target, expected_epoch=body.expected_epoch, **by),
+            _MOVE_BODY,
+            lambda body, metadata: RequestMove(
+                vm=vm, target=body.target, expected_epoch=body.expected_epoch, **metadata
+            ),
         )
 
     async def decide(self, request: web.Request) -> web.Response:
-        """Answers the question about a drain that does not end."""
+        """Records the operator's decision about an overdue drain."""
         vm = request.match_info["vm"]
         return await self.access.change(
             request,
-            _DECISION,
-            lambda body, by: DecideDrain(
-                vm=vm, decision=body.decision, expected_epoch=body.expected_epoch, **by
+            _DECISION_BODY,
+            lambda body, metadata: DecideDrain(
+                vm=vm, decision=body.decision, expected_epoch=body.expected_epoch, **metadata
             ),
         )
 
     async def show_withdrawal(self, request: web.Request) -> web.Response:
-        """Shows what a withdrawal would do, or how far it is."""
+        """Shows the expected effect of a withdrawal, or its progress."""
         zone = request.match_info["zone"]
         if zone not in self.replica.state.tables.zones:
             message = f"zone {zone!r} does not exist"
@@ -97,7 +103,7 @@
         return json_response(report_zone(self.replica.state, zone=zone))
 
     async def list_permits(self, request: web.Request) -> web.Response:
-        """Lists permits and whether their drain needs a decision."""
+        """Lists permits and whether their drain is overdue."""
         overdue = {permit.vm for permit in find_overdue_drains(self.replica.state, now_ms=self.now_ms())}
         permits = self.replica.state.tables.permits.values()
         return json_response(
--- a/src/hyssopway/operator_api/operator_access.py
+++ b/src/hyssopway/operator_api/operator_access.py
@@ -1,4 +1,4 @@
-"""Checks who asks for an operator's route, and brings changes of operators to the agreed state."""
+"""Authenticates operators and submits their commands to the replicated state."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 SUBMIT_TIMEOUT_S = 5.0
 
 
-class Identity(TypedDict):
-    """Fields that every change of an operator carries.
+class RequestMetadata(TypedDict):
+    """Fields of a request that every command of an operator includes.
 
     Attributes:
-        request_id: Identity of the request over resends.
-        operator: Who asked.
+        request_id: ID of the request; a retry has the same ID.
+        operator: Name of the operator.
     """
 
     request_id: str
@@ -39,11 +39,13 @@
 
 
 class OperatorAccess:
-    """What all routes of operators share; one instance serves them all, so a new token counts on each.
+    """Authentication and command submission for all routes of operators.
+
+    All routes share one instance, so that a reloaded token applies to each of them.
 
     Attributes:
-        submitter: Way to the agreed state.
-        token: Secret that operators present.
+        submitter: Submits commands to the replicated state.
+        token: Operator token that requests must present.
     """
 
     __slots__ = ("submitter", "token")
@@ -53,7 +55,7 @@
         self.token = token
 
     def guard(self, handler: Handler) -> Handler:
-        """Lets only operators reach a handler."""
+        """Returns a handler that refuses requests without the operator token."""
 
         async def guarded(request: web.Request) -> web.Response:
             if not token_matches(request, token=self.token):
@@ -67,12 +69,12 @@
         self,
         request: web.Request,
         adapter: TypeAdapter[B],
-        build: Callable[[B, Identity], OperatorCommand],
+        build: Callable[[B, RequestMetadata], OperatorCommand],
     ) -> web.Response:
-        """Reads a body, submits the command made of it and answers with the outcome."""
+        """Reads a body, submits the command that is built from it and answers with the outcome."""
         match await read_json(request, adapter):
             case Result(tag="ok", ok=body):
-                return await self.submit(build(body, identify(request)))
+                return await self.submit(build(body, read_metadata(request)))
             case Result(error=failure):
                 return failure_response(failure)
 
@@ -87,12 +89,12 @@
                 return failure_response(failure)
 
 
-def identify(request: web.Request) -> Identity:
-    """Returns the request id, a new one when there is none, and the name of the operator."""
-    return Identity(
+def read_metadata(request: web.Request) -> RequestMetadata:
+    """Returns the request ID, a random one if the request has none, and the name of the operator."""
+    return RequestMetadata(
         request_id=request.headers.get(REQUEST_ID_HEADER) or secrets.token_hex(12),
         operator=request.headers.get(OPERATOR_HEADER, "operator"),
     )
 
 
-__all__ = ["Handler", "Identity", "OperatorAccess", "identify"]
+__all__ = ["Handler", "OperatorAccess", "RequestMetadata", "read_metadata"]
--- a/src/hyssopway/operator_api/operator_routes.py
+++ b/src/hyssopway/operator_api/operator_routes.py
@@ -1,4 +1,4 @@
-"""Routes for operators."""
+"""Routes for operators about documents, keys, zones, VMs, pools, teams and status."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from hyssopway.result import Failure, ResultCode
 
 from .bodies import GrantBody, PromoteBody, TrialBody, ZoneBody
-from .operator_access import identify
+from .operator_access import read_metadata
 from .paging import read_page
 from .request_explanation import explain_request
 
@@ -30,21 +30,21 @@
 MAX_INDEX_DIGITS = 18
 VM_FILTERS = ("pool", "zone", "state")
 
-_TRIAL = TypeAdapter(TrialBody)
-_PROMOTE = TypeAdapter(PromoteBody)
-_GRANT = TypeAdapter(GrantBody)
-_ZONE = TypeAdapter(ZoneBody)
+_TRIAL_BODY = TypeAdapter(TrialBody)
+_PROMOTE_BODY = TypeAdapter(PromoteBody)
+_GRANT_BODY = TypeAdapter(GrantBody)
+_ZONE_BODY = TypeAdapter(ZoneBody)
 
 
 class OperatorRoutes:
-    """Lets operators change and read the agreed state.
+    """Lets operators change and read the replicated state.
 
     Attributes:
-        replica: Agreed state.
-        access: Check of operators and way to the agreed state.
-        read_status: Returns the status of all daemons and the progress of a log index.
-        read_dump: Returns the state of this process.
-        find_requests: Returns what this entry keeps of a caller's request id.
+        replica: Local copy of the replicated state.
+        access: Authenticates operators and submits their commands.
+        read_status: Returns the status of all daemons and the rollout of a log index.
+        read_dump: Returns the state dump of this process.
+        find_requests: Returns the records that this daemon keeps about a request ID of a caller.
     """
 
     __slots__ = ("access", "find_requests", "read_dump", "read_status", "replica")
@@ -65,11 +65,11 @@
         self.find_requests = find_requests
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the operators' routes."""
+        """Adds the routes to the application."""
         router, guard = app.router, self.access.guard
         router.add_get("/v1/documents/{environment}", guard(self.show_document))
         router.add_get("/v1/documents/{environment}/history", guard(self.show_history))
-        router.add_post("/v1/documents/trial", guard(self.trial))
+        router.add_post("/v1/documents/trial", guard(self.submit_trial))
         router.add_post("/v1/documents/production", guard(self.promote))
         router.add_get("/v1/keys", guard(self.list_keys))
         router.add_post("/v1/keys", guard(self.grant_key))
@@ -85,28 +85,28 @@
         router.add_get("/v1/status", guard(self.status))
         router.add_get("/v1/dump", guard(self.dump))
 
-    async def trial(self, request: web.Request) -> web.Response:
-        """Puts a document into the trial environment."""
+    async def submit_trial(self, request: web.Request) -> web.Response:
+        """Activates a document in the trial environment."""
         return await self.access.change(
             request,
-            _TRIAL,
-            lambda body, by: TrialDocument(
-                text=body.text, expected_generation=body.expected_generation, **by
+            _TRIAL_BODY,
+            lambda body, metadata: TrialDocument(
+                text=body.text, expected_generation=body.expected_generation, **metadata
             ),
         )
 
     async def promote(self, request: web.Request) -> web.Response:
-        """Promotes a tried document to production."""
+        """Promotes the trial document to production."""
         return await self.access.change(
             request,
-            _PROMOTE,
-            lambda body, by: PromoteDocument(
-                digest=body.digest, expected_generation=body.expected_generation, **by
+            _PROMOTE_BODY,
+            lambda body, metadata: PromoteDocument(
+                digest=body.digest, expected_generation=body.expected_generation, **metadata
             ),
         )
 
     async def show_document(self, request: web.Request) -> web.Response:
-        """Shows the document in force."""
+        """Shows the active document of an environment."""
         stored = self.replica.state.tables.documents.get(request.match_info["environment"])
         if stored is None:
             message = f"no document is in force in {request.match_info['environment']!r}"
@@ -125,13 +125,17 @@
         """Grants a key."""
         return await self.access.change(
             request,
-            _GRANT,
-            lambda body, by: GrantKey(key_id=body.key_id, key_hash=body.key_hash, team=body.team, **by),
+            _GRANT_BODY,
+            lambda body, metadata: GrantKey(
+                key_id=body.key_id, key_hash=body.key_hash, team=body.team, **metadata
+            ),
         )
 
     async def withdraw_key(self, request: web.Request) -> web.Response:
         """Withdraws a key."""
-        return await self.access.submit(WithdrawKey(key_id=request.match_info["key"], **identify(request)))
+        return await self.access.submit(
+            WithdrawKey(key_id=request.match_info["key"], **read_metadata(request))
+        )
 
     async def list_keys(self, request: web.Request) -> web.Response:
         """Lists keys without their hashes."""
@@ -153,8 +157,10 @@
         zone = request.match_info["zone"]
         return await self.access.change(
             request,
-            _ZONE,
-            lambda body, by: SetZone(zone=zone, status=body.status, expected_epoch=body.expected_epoch, **by),
+            _ZONE_BODY,
+            lambda body, metadata: SetZone(
+                zone=zone, status=body.status, expected_epoch=body.expected_epoch, **metadata
+            ),
         )
 
     async def list_zones(self, request: web.Request) -> web.Response:
@@ -162,14 +168,14 @@
         return json_response({"zones": list(self.replica.state.tables.zones.values())})
 
     async def list_vms(self, request: web.Request) -> web.Response:
-        """Lists VMs with their running jobs, by name."""
+        """Lists VMs with their running jobs, in the order of names."""
         match read_page(request.query):
             case Result(tag="ok", ok=page):
                 pass
             case Result(error=failure):
                 return failure_response(failure)
         wanted = {name: request.query[name] for name in VM_FILTERS if name in request.query}
-        vms, following = page.cut(
+        vms, next_cursor = page.select(
             (
                 vm
                 for vm in self.replica.state.tables.vms.values()
@@ -179,7 +185,7 @@
         )
         running = self.replica.state.indexes.running
         listed = [{"vm": vm, "running": sorted(running.get(vm.name, ()))} for vm in vms]
-        return json_response({"vms": listed, "next": following})
+        return json_response({"vms": listed, "next": next_cursor})
 
     async def list_pools(self, request: web.Request) -> web.Response:
         """Lists pools with their VMs."""
@@ -192,7 +198,7 @@
         return json_response({"pools": pools})
 
     async def list_teams(self, request: web.Request) -> web.Response:
-        """Lists teams with what they hold."""
+        """Lists teams with their resource usage."""
         document = self.replica.state.document()
         usage = self.replica.state.indexes.usage
         teams = [
@@ -201,7 +207,7 @@
         return json_response({"teams": teams})
 
     async def explain_vm(self, request: web.Request) -> web.Response:
-        """Shows a VM, why it is in its state, what it runs and what it has left."""
+        """Shows a VM with its zone and permit, its runs and its free resources."""
         name = request.match_info["vm"]
         state = self.replica.state
         vm = state.tables.vms.get(name)
@@ -210,15 +216,15 @@
                 Failure(code=ResultCode.UNKNOWN_VM, message=f"VM {name!r} does not exist")
             )
         jobs = [state.tables.jobs[job_id] for job_id in sorted(state.indexes.running.get(name, ()))]
-        left = vm.capacity
+        free = vm.capacity
         for job in jobs:
-            left = left - job.spec.resources
+            free = free - job.spec.resources
         runs = [{"job_id": job.job_id, "team": job.team, "run": job.run} for job in jobs]
         shown = {"vm": vm, "zone": state.tables.zones.get(vm.zone), "permit": state.tables.permits.get(name)}
-        return json_response(shown | {"runs": runs, "left": left})
+        return json_response(shown | {"runs": runs, "left": free})
 
     async def explain_job(self, request: web.Request) -> web.Response:
-        """Explains the decisions about a job."""
+        """Shows a job and the reasons why it is still pending."""
         job = self.replica.state.tables.jobs.get(request.match_info["job"])
         if job is None:
             message = f"job {request.match_info['job']!r} does not exist"
@@ -227,7 +233,7 @@
         return json_response({**asdict(job), "waiting": waiting})
 
     async def explain_request(self, request: web.Request) -> web.Response:
-        """Explains a change or a non-idempotent request by its id."""
+        """Explains a change or a non-idempotent request by its request ID."""
         request_id = request.match_info["request"]
         found = explain_request(state=self.replica.state, request_id=request_id)
         seen = self.find_requests(request_id)
@@ -239,7 +245,7 @@
         return json_response(found)
 
     async def status(self, request: web.Request) -> web.Response:
-        """Shows the status of all daemons and how far a log index, by default the last, has come."""
+        """Shows the status of all daemons and the rollout of a log index, by default the last applied one."""
         text = request.query.get("index")
         if text is None:
             return json_response(await self.read_status(None))
--- a/src/hyssopway/operator_api/request_explanation.py
+++ b/src/hyssopway/operator_api/request_explanation.py
@@ -1,4 +1,4 @@
-"""Explains what became of a request id."""
+"""Explains the outcome of a request by its ID."""
 
 from __future__ import annotations
 
@@ -16,10 +16,14 @@
 
 
 def explain_request(*, state: ControlState, request_id: str) -> dict[str, Any] | None:
-    """Returns what is kept about an operators' change or a non-idempotent request."""
+    """Returns the stored outcome of an operator's change and the claims of non-idempotent requests.
+
+    Returns:
+        None if nothing is stored for the request ID.
+    """
     stored = state.tables.outcomes.get(request_id)
     claims = [
-        _describe(claim, environment=environment, team=team)
+        _describe_claim(claim, environment=environment, team=team)
         for claim, environment, team in _find_claims(state, request_id=request_id)
     ]
     if stored is None and not claims:
@@ -43,7 +47,7 @@
             yield claim, environment, team
 
 
-def _describe(claim: Claim, *, environment: str, team: str) -> dict[str, Any]:
+def _describe_claim(claim: Claim, *, environment: str, team: str) -> dict[str, Any]:
     return {
         "claim": claim.claim_id,
         "environment": environment,
--- a/src/hyssopway/operator_api/wave_routes.py
+++ b/src/hyssopway/operator_api/wave_routes.py
@@ -25,17 +25,17 @@
 
     from .operator_access import OperatorAccess
 
-_START = TypeAdapter(WaveBody)
-_ACTION = TypeAdapter(WaveActionBody)
+_WAVE_BODY = TypeAdapter(WaveBody)
+_WAVE_ACTION_BODY = TypeAdapter(WaveActionBody)
 
 
 class WaveRoutes:
     """Lets operators start, read and control waves.
 
     Attributes:
-        replica: Agreed state.
-        access: Check of operators and way to the agreed state.
-        now_ms: Returns agreed time.
+        replica: Local copy of the replicated state.
+        access: Authenticates operators and submits their commands.
+        now_ms: Returns the cluster time in milliseconds.
     """
 
     __slots__ = ("access", "now_ms", "replica")
@@ -46,7 +46,7 @@
         self.now_ms = now_ms
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the routes."""
+        """Adds the routes to the application."""
         router, guard = app.router, self.access.guard
         router.add_post("/v1/waves", guard(self.start))
         router.add_get("/v1/waves", guard(self.list_waves))
@@ -55,7 +55,9 @@
 
     async def start(self, request: web.Request) -> web.Response:
         """Starts a wave."""
-        return await self.access.change(request, _START, lambda body, by: StartWave(pools=body.pools, **by))
+        return await self.access.change(
+            request, _WAVE_BODY, lambda body, metadata: StartWave(pools=body.pools, **metadata)
+        )
 
     async def control(self, request: web.Request) -> web.Response:
         """Pauses, resumes or aborts a wave."""
@@ -63,8 +65,10 @@
         action = WaveAction(request.match_info["action"])
         return await self.access.change(
             request,
-            _ACTION,
-            lambda body, by: ControlWave(wave=wave, action=action, expected_epoch=body.expected_epoch, **by),
+            _WAVE_ACTION_BODY,
+            lambda body, metadata: ControlWave(
+                wave=wave, action=action, expected_epoch=body.expected_epoch, **metadata
+            ),
         )
 
     async def list_waves(self, request: web.Request) -> web.Response:
@@ -73,7 +77,7 @@
         return json_response({"waves": [self._summarise(wave) for wave in waves]})
 
     async def show(self, request: web.Request) -> web.Response:
-        """Shows a wave with each of its VMs."""
+        """Shows a wave with its progress and all its VMs."""
         wave = self.replica.state.tables.waves.get(request.match_info["wave"])
         if wave is None:
             message = f"wave {request.match_info['wave']!r} does not exist"
--- a/src/hyssopway/operator_api/worker_routes.py
+++ b/src/hyssopway/operator_api/worker_routes.py
@@ -16,15 +16,15 @@
 
     from hyssopway.worker import WorkerSessions
 
-_SYNC = TypeAdapter(SyncRequest)
+_SYNC_REQUEST = TypeAdapter(SyncRequest)
 
 
 class WorkerRoutes:
-    """Lets workers report and fetch orders.
+    """Lets workers report their state and fetch instructions.
 
     Attributes:
         sessions: Sessions of the workers whose home is this daemon.
-        token: Secret that workers present.
+        token: Fleet token that workers must present.
     """
 
     __slots__ = ("sessions", "token")
@@ -34,15 +34,15 @@
         self.token = token
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the workers' routes."""
+        """Adds the routes to the application."""
         app.router.add_post("/v1/workers/{vm}/sync", self.sync)
 
     async def sync(self, request: web.Request) -> web.Response:
-        """Takes a report and answers with orders."""
+        """Records the report of a worker and answers with instructions."""
         if not token_matches(request, token=self.token):
             message = "present the fleet token as a bearer token"
             return failure_response(Failure(code=ResultCode.NOT_PERMITTED, message=message))
-        match await read_json(request, _SYNC):
+        match await read_json(request, _SYNC_REQUEST):
             case Result(tag="ok", ok=report):
                 pass
             case Result(error=failure):
--- a/src/hyssopway/run.py
+++ b/src/hyssopway/run.py
@@ -1,4 +1,4 @@
-"""Entry point of the daemon: parse, build, run."""
+"""Command line entry point of the daemon."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 class AddressError(Exception):
-    """An address of the settings cannot be used."""
+    """An address in the settings cannot be used."""
 
 
 def _serve(*, path: Path, initialise: bool) -> int:
@@ -90,8 +90,8 @@
     daemon = Daemon(settings=settings, initialise=initialise)
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGUSR1, _write_dump, daemon)
     loop.add_signal_handler(signal.SIGHUP, daemon.reload, path)
     try:
@@ -100,10 +100,11 @@
         raise AddressError(str(error)) from error
     await stop.wait()
     await daemon.stop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        # A second signal between the end of the loop and the exit would end a graceful stop by status -15.
-        loop.remove_signal_handler(number)
-        signal.signal(number, signal.SIG_IGN)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        # Otherwise a second signal after the end of the event loop would turn the exit status of a graceful
+        # stop into -15.
+        loop.remove_signal_handler(signal_number)
+        signal.signal(signal_number, signal.SIG_IGN)
 
 
 def _write_dump(daemon: Daemon) -> None:
--- a/tests/daemon/conftest.py
+++ b/tests/daemon/conftest.py
@@ -1,4 +1,4 @@
-"""One daemon as a process."""
+"""Fixture that starts one daemon process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 async def daemon(tmp_path, session):
-    """One daemon that serves HTTP; it has no leader."""
+    """A daemon that serves HTTP; it cannot reach a quorum, so there is no leader."""
     prepared = Deployment.prepare(name="pantry", folder=tmp_path, overrides={"drain_health_s": 1.0})
     started = prepared.daemons["nashua-1"]
     started.start(initialise=True)
@@ -26,7 +26,7 @@
 
 
 async def read_status(session, url: str, *, token: str = "") -> int:
-    """Returns the HTTP status of a GET; 0 when no one listens."""
+    """Returns the HTTP status of a GET request; 0 if the connection is refused."""
     try:
         async with session.get(url, headers={"Authorization": f"Bearer {token}"}) as answer:
             return answer.status
--- a/tests/daemon/test_exit_statuses.py
+++ b/tests/daemon/test_exit_statuses.py
@@ -22,8 +22,8 @@
         (["--settings", "FILE", "--initialise"], {"data_dir": "/dev/null/data"}, 74, " 2007 "),
     ],
 )
-def test_daemon_that_cannot_start_says_why(options, changes, status, text, tmp_path):
-    """Guards against a supervisor that restarts a daemon for ever over a wrong file."""
+def test_failed_start_reports_the_reason(options, changes, status, text, tmp_path):
+    """Guards against wrong exit statuses, on which a supervisor would restart the daemon forever."""
     daemon = Deployment.prepare(name="pantry", folder=tmp_path).daemons["nashua-1"]
     daemon.settings_path.write_text(yaml.safe_dump(daemon.settings | changes))
     shown = [str(daemon.settings_path) if option == "FILE" else option for option in options]
@@ -34,8 +34,8 @@
     assert "Traceback" not in done.stderr
 
 
-def test_address_in_use_is_a_problem_of_the_settings(tmp_path):
-    """Guards against a traceback when another process has the port."""
+def test_address_in_use_is_reported_as_invalid_settings(tmp_path):
+    """Guards against a traceback when another process uses the port."""
     daemon = Deployment.prepare(name="pantry", folder=tmp_path).daemons["nashua-1"]
     with socket.create_server((daemon.own["host"], daemon.own["peer_port"])):
         command = [sys.executable, "-m", "hyssopway", "--settings", str(daemon.settings_path), "--initialise"]
--- a/tests/daemon/test_reloading.py
+++ b/tests/daemon/test_reloading.py
@@ -25,8 +25,8 @@
     return daemon.log_path.read_text()
 
 
-async def test_tokens_and_log_change_and_the_rest_is_named(daemon, session):
-    """Guards against a reload that silently leaves a field as it was."""
+async def test_reload_applies_tokens_and_log_level_and_logs_other_changes(daemon, session):
+    """Guards against a reload that silently ignores a changed field."""
     changes = {"operator_token": CHANGED, "log_level": "DEBUG", "max_body_bytes": 2048, "shutdown_s": 1}
     text = yaml.safe_dump(daemon.settings | changes)
     log = await reload(daemon, text, event="settings reloaded")
@@ -38,13 +38,13 @@
 
 
 @pytest.mark.parametrize("path", ["zones", "vms", "status", "waves", "permits", "members"])
-async def test_operator_token_changes_on_every_class_of_routes(daemon, session, path):
-    """Guards against a leaked operator token that some routes accept until the restart."""
+async def test_operator_token_changes_on_all_routes(daemon, session, path):
+    """Guards against routes that accept a leaked operator token until the restart, despite the reload."""
     url = f"{daemon.url}/v1/{path}"
     text = yaml.safe_dump(daemon.settings | {"operator_token": CHANGED})
     await reload(daemon, text, event="settings reloaded")
     assert await read_status(session, url, token=daemon.settings["operator_token"]) == 403
-    # Members are listed by the leader, which this daemon cannot reach.
+    # The leader lists the members. There is none here, so that route answers 503.
     assert await read_status(session, url, token=CHANGED) in (200, 503)
 
 
@@ -57,8 +57,8 @@
         ({"colour": 1}, "colour"),
     ],
 )
-async def test_bad_file_changes_nothing(daemon, session, changes, problem):
-    """Guards against taking over the good half of a bad file."""
+async def test_invalid_file_changes_nothing(daemon, session, changes, problem):
+    """Guards against applying the valid fields of an invalid file."""
     text = yaml.safe_dump(daemon.settings | {"operator_token": CHANGED} | changes)
     assert problem in await reload(daemon, text, event="settings are invalid")
     assert await read_status(session, f"{daemon.url}/v1/zones", token=CHANGED) == 403
--- a/tests/daemon/test_stopping.py
+++ b/tests/daemon/test_stopping.py
@@ -1,4 +1,4 @@
-"""Graceful stop."""
+"""Graceful stop of a daemon."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from .conftest import read_status
 
 
-async def test_health_fails_first_and_requests_still_finish(daemon, session):
-    """Guards against closing the port before the balancer looks away, and against cut requests."""
+async def test_health_check_fails_before_the_port_closes_and_requests_finish(daemon, session):
+    """Guards against closing the port while the load balancer still uses it, and against cut requests."""
     reader, writer = await asyncio.open_connection(daemon.own["host"], daemon.own["http_port"])
     writer.write(b"PUT /v1/endpoints/e HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{")
     started = time.monotonic()
--- a/tests/daemon/test_tls.py
+++ b/tests/daemon/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS for HTTP and between daemons."""
+"""TLS on the HTTP ports and between daemons."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def make_certificates(folder, hosts: list[str]) -> dict[str, str]:
-    """Creates an authority and one certificate for all hosts."""
+    """Creates a certificate authority and one certificate for all hosts."""
     names = ",".join(f"IP:{host}" for host in hosts)
     (folder / "extensions").write_text(f"subjectAltName={names}\n")
     commands = [
@@ -38,8 +38,8 @@
 
 
 @pytest.mark.skipif(OPENSSL is None, reason="the openssl command is not installed")
-async def test_daemons_agree_and_answer_over_tls(tmp_path):
-    """Guards against TLS settings that are read and not used."""
+async def test_daemons_replicate_and_serve_over_tls(tmp_path):
+    """Guards against TLS settings that are read but not applied."""
     overrides = {"tls": dict.fromkeys(("certificate", "private_key", "authority"), "x")}
     deployment = Deployment.prepare(name="pantry", folder=tmp_path, overrides=overrides)
     daemons = list(deployment.daemons.values())
@@ -57,8 +57,8 @@
             if states and all(state.get("confirmed") for state in states):
                 break
             assert time.monotonic() < deadline, found
-        plain = [url.replace("https", "http") for url in urls]
-        assert run_status(plain, *options).returncode == 5
+        plain_urls = [url.replace("https", "http") for url in urls]
+        assert run_status(plain_urls, *options).returncode == 5
         assert run_status(urls, *options[:2]).returncode == 5
     finally:
         deployment.stop()
--- a/tests/operator_api/test_bad_requests.py
+++ b/tests/operator_api/test_bad_requests.py
@@ -1,4 +1,4 @@
-"""Requests of operators and submitters that are refused."""
+"""Refused requests of operators and submitters."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 GRANT = {"key_id": "a1", "key_hash": HASH, "team": "casco-bay"}
 LONG = "x" * 300
 
-# Method, path, who asks, body, headers, HTTP status, result code.
+# Method, path, token of the caller, body, headers, HTTP status, result code.
 CASES = [
     ("GET", "/v1/zones", "nobody", None, {}, 403, 204),
     ("GET", "/v1/zones", "fleet", None, {}, 403, 204),
@@ -71,8 +71,8 @@
 ]
 
 
-async def test_refusals_are_numbered_and_true(deployment: Deployment, operator, session):
-    """Guards against refusals without a number, and against a refused change that took effect."""
+async def test_refusals_have_a_result_code_and_no_effect(deployment: Deployment, operator, session):
+    """Guards against refusals without a result code, and against a refused change that takes effect."""
     tokens = {
         "nobody": "",
         "operator": deployment.operator_token,
@@ -80,19 +80,19 @@
         "team": await operator.grant_key("casco-bay"),
     }
     before = [await operator.get(path) for path in ("/v1/keys", "/v1/zones", "/v1/documents/trial")]
-    wrong = []
+    mismatches = []
     for method, path, who, body, headers, status, code in CASES:
         sent = headers | ({"Authorization": f"Bearer {tokens[who]}"} if tokens[who] else {})
         async with session.request(method, operator.url + path, json=body, headers=sent) as answer:
             found = await answer.json()
         if (answer.status, found["code"], found["work"]) != (status, code, "not_run"):
-            wrong.append((method, path, who, body, answer.status, found))
-    assert not wrong
+            mismatches.append((method, path, who, body, answer.status, found))
+    assert not mismatches
     assert before == [await operator.get(path) for path in ("/v1/keys", "/v1/zones", "/v1/documents/trial")]
 
 
-async def test_teams_see_only_their_own_jobs(operator, session):
-    """Guards against a team that reads or cancels the work of another."""
+async def test_teams_access_only_their_own_jobs(operator, session):
+    """Guards against a team that reads or cancels the jobs of another team."""
     owner, other = [await operator.grant_key(team) for team in ("casco-bay", "granite-hearth")]
 
     async def ask(method: str, path: str, key: str, **options: object) -> tuple[int, dict]:
--- a/tests/operator_api/test_resends.py
+++ b/tests/operator_api/test_retries.py
@@ -1,4 +1,4 @@
-"""Changes of operators that are sent again after a lost answer."""
+"""Retries of operators' changes after a lost answer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 GRANT = {"key_id": "a1", "key_hash": "0" * 64, "team": "casco-bay"}
 VM = "back-office-vm-1"
 
-# Path, body, a body that the same request id must not stand for, and the state of the VM before it.
+# Path, body, another body that must be refused under the same request ID, and the required state of the VM.
 EPOCH, STALE = {"expected_epoch": "VM"}, {"expected_epoch": 99}
 CHANGES = [
     ("/v1/keys", GRANT, GRANT | {"key_id": "a2"}, "ready"),
@@ -24,13 +24,13 @@
         {"action": "promote", "member": "worcester-1"},
         "ready",
     ),
-    # Last: a withdrawal takes spare VMs by itself.
+    # Last, because a withdrawal takes spare VMs on its own.
     ("/v1/zones/Portland", {"status": "withdrawn", "expected_epoch": 0}, {"status": "open"}, "ready"),
 ]
 
 
-async def test_a_resend_of_each_change_gets_the_first_outcome(deployment, outside, operator, session):
-    """Guards against a change that takes effect twice, or that a resend reports as refused."""
+async def test_retry_of_each_change_returns_the_first_outcome(deployment, outside, operator, session):
+    """Guards against a change that takes effect twice, or that a retry reports as refused."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
     headers = {"Authorization": f"Bearer {deployment.operator_token}"}
 
