--- a/src/hyssopway/daemon/applied_index_history.py
+++ b/src/hyssopway/daemon/applied_index_history.py
@@ -12,9 +12,9 @@
 
     from hyssopway.clock import Clock
 
-SAMPLE_INTERVAL_S = 0.25
+SAMPLE_S = 0.25
 # Covers twice the authority TTL. The authority that an older sample bounds has already expired.
-MAX_SAMPLES = int(2 * AUTHORITY_TTL_S / SAMPLE_INTERVAL_S)
+MAX_SAMPLES = int(2 * AUTHORITY_TTL_S / SAMPLE_S)
 
 
 class AppliedIndexHistory:
@@ -40,7 +40,7 @@
     def sample(self) -> None:
         """Takes a sample if the index changed or the sampling interval has passed."""
         now, index = self.clock(), self.read_index()
-        if not self.samples or self.samples[-1][1] != index or now - self.samples[-1][0] >= SAMPLE_INTERVAL_S:
+        if not self.samples or self.samples[-1][1] != index or now - self.samples[-1][0] >= SAMPLE_S:
             self.samples.append((now, index))
 
     def stale_authority_left_s(self, index: int) -> float | None:
@@ -54,4 +54,4 @@
         return None if seen_at is None else max(0.0, seen_at + AUTHORITY_TTL_S - self.clock())
 
 
-__all__ = ["SAMPLE_INTERVAL_S", "AppliedIndexHistory"]
+__all__ = ["SAMPLE_S", "AppliedIndexHistory"]
--- a/src/hyssopway/daemon/background_tasks.py
+++ b/src/hyssopway/daemon/background_tasks.py
@@ -28,7 +28,7 @@
     """Starts the background tasks of a daemon and returns them."""
     loops = _common_loops(daemon)
     if daemon.member is None:
-        loops["watch"] = daemon.control.watch
+        loops["watch"] = daemon.group.watch
     else:
         loops |= _member_loops(daemon, member=daemon.member)
     return [asyncio.create_task(_keep_running(name, loop), name=name) for name, loop in loops.items()]
@@ -41,19 +41,19 @@
         "silence": lambda: monitor_leases(daemon.jobs.sessions),
         "credits": daemon.requests.router.run,
         "summaries": daemon.requests.homes.run,
-        "applied_times": daemon.control.sample_index,
+        "applied_times": daemon.group.sample_index,
     }
 
 
 def _member_loops(daemon: Daemon, *, member: Member) -> dict[str, Loop]:
-    peers = daemon.control.peers
+    peers = daemon.group.peers
     rng = random.Random()
     loops: dict[str, Loop] = {
         "sync_log": member.sync_own_log,
         "apply": member.apply_committed,
         "elections": lambda: run_elections(member=member, transport=peers, rng=rng),
         "replication": lambda: run_replication(member=member, transport=peers),
-        "confirm": lambda: daemon.control.confirm(member),
+        "confirm": lambda: daemon.group.confirm(member),
         "jobs": daemon.jobs.scheduler.run,
         "lost_homes": daemon.jobs.home_monitor.run,
         "fleet": daemon.fleet.controller.run,
--- a/src/hyssopway/daemon/control_components.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -1,4 +1,4 @@
-"""Components of a daemon that hold and change the replicated state."""
+"""Control group: components of a daemon that hold and change the replicated state."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hyssopway.replica import Freshness, Proposer, Replica, Submitter, follow_leader, follow_upstream
 from hyssopway.settings import peer_client_context
 
-from .applied_index_history import SAMPLE_INTERVAL_S, AppliedIndexHistory
+from .applied_index_history import SAMPLE_S, AppliedIndexHistory
 from .membership_manager import MembershipManager
 
 if TYPE_CHECKING:
@@ -21,8 +21,8 @@
     from hyssopway.settings import DaemonSettings
 
 
-class ControlComponents:
-    """Replica, control member and the clients of the other daemons.
+class ControlGroup:
+    """This daemon's side of the control group: replica, control member and clients of the other daemons.
 
     Attributes:
         settings: Settings of the daemon.
@@ -114,7 +114,7 @@
         """Samples the applied index for as long as the daemon runs."""
         while True:
             self.applied_index_history.sample()
-            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            await asyncio.sleep(SAMPLE_S)
 
     def _build_member(self) -> Member | None:
         if self.settings.data_dir is None:
@@ -144,4 +144,4 @@
     return [peer.name for peer in others]
 
 
-__all__ = ["ControlComponents", "nearest_first"]
+__all__ = ["ControlGroup", "nearest_first"]
--- a/src/hyssopway/daemon/daemon.py
+++ b/src/hyssopway/daemon/daemon.py
@@ -14,7 +14,7 @@
 from hyssopway.settings import http_context, peer_server_context
 
 from .background_tasks import start_tasks
-from .control_components import ControlComponents
+from .control_group import ControlGroup
 from .dump import dump_daemon
 from .exchange_handlers import build_exchange_handlers
 from .fleet_components import FleetComponents
@@ -41,7 +41,7 @@
         initialise: Whether a new group of control members is started on an empty data folder.
         stopping: Whether the health check fails so that the load balancer stops sending requests.
         tasks: Background tasks; `background_tasks` lists them.
-        control: Replicated state and clients of the other daemons.
+        group: Replicated state and clients of the other daemons.
         replica: Local copy of the replicated state.
         freshness: Age of the last confirmation that the replica is current.
         member: Control member; None on a daemon without a data folder.
@@ -57,22 +57,22 @@
         self.initialise = initialise
         self.stopping = False
         self.tasks: list[asyncio.Task[None]] = []
-        self.control = ControlComponents(settings=settings, clock=monotonic_s)
-        self.replica = self.control.replica
-        self.freshness = self.control.freshness
-        self.member = self.control.member
-        self.requests = RequestComponents(control=self.control)
-        self.fleet = FleetComponents(control=self.control, requests=self.requests)
+        self.group = ControlGroup(settings=settings, clock=monotonic_s)
+        self.replica = self.group.replica
+        self.freshness = self.group.freshness
+        self.member = self.group.member
+        self.requests = RequestComponents(group=self.group)
+        self.fleet = FleetComponents(group=self.group, requests=self.requests)
         self.peer_calls = PeerCallHandler(
             member=self.member,
-            proposer=self.control.proposer,
+            proposer=self.group.proposer,
             replica=self.replica,
             freshness=self.freshness,
             ledger=self.requests.ledger,
             router=self.requests.router,
         )
         self.peer_calls.reported_contacts = {}
-        self.jobs = JobComponents(control=self.control, fleet=self.fleet, peer_calls=self.peer_calls)
+        self.jobs = JobComponents(group=self.group, fleet=self.fleet, peer_calls=self.peer_calls)
         self.peer_calls.exchange_handlers.update(build_exchange_handlers(self))
         self.peer_server = PeerServer(handlers=self.peer_calls, token=settings.peer_token)
         self.http = HttpApplication(daemon=self)
@@ -124,7 +124,7 @@
         self.requests.router.close()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.peer_server.close()
-        self.control.peers.close()
+        self.group.peers.close()
         await self.requests.close()
         await self.fleet.close()
         if self.member is not None:
--- a/src/hyssopway/daemon/fleet_components.py
+++ b/src/hyssopway/daemon/fleet_components.py
@@ -8,7 +8,7 @@
 from hyssopway.platform import PlatformClient
 
 if TYPE_CHECKING:
-    from .control_components import ControlComponents
+    from .control_group import ControlGroup
     from .request_components import RequestComponents
 
 
@@ -16,36 +16,36 @@
     """Counter of requests in progress on VMs, fleet controller and platform client.
 
     Attributes:
-        control: Replicated state and clients of the other daemons.
+        group: Replicated state and clients of the other daemons.
         requests: Components that forward requests to endpoints.
         platform: Client of the platform; None before `open` and without a platform URL.
         vm_requests: Counts the requests in progress on a VM.
         controller: Controls drains, moves, waves and zones; active only on the leader.
     """
 
-    __slots__ = ("control", "controller", "platform", "requests", "vm_requests")
+    __slots__ = ("controller", "group", "platform", "requests", "vm_requests")
 
-    def __init__(self, *, control: ControlComponents, requests: RequestComponents) -> None:
-        self.control = control
+    def __init__(self, *, group: ControlGroup, requests: RequestComponents) -> None:
+        self.group = group
         self.requests = requests
         self.platform: PlatformClient | None = None
         self.vm_requests = VmRequestCounter(
             ledger=requests.ledger,
             router=requests.router,
-            peers=control.peers,
-            replica=control.replica,
+            peers=group.peers,
+            replica=group.replica,
         )
         self.controller = FleetController(
-            replica=control.replica,
-            submitter=control.submitter,
-            leads=control.leads,
-            clock=control.clock,
-            now_ms=control.now_ms,
+            replica=group.replica,
+            submitter=group.submitter,
+            leads=group.leads,
+            clock=group.clock,
+            now_ms=group.now_ms,
         )
 
     def open(self) -> None:
         """Opens the client of the platform if the settings name its URL."""
-        url = self.control.settings.platform_url
+        url = self.group.settings.platform_url
         if url is not None:
             self.platform = PlatformClient.open(url=url)
             self.controller.rebooter = Rebooter(platform=self.platform)
--- a/src/hyssopway/daemon/http_application.py
+++ b/src/hyssopway/daemon/http_application.py
@@ -42,14 +42,14 @@
 
     def __init__(self, *, daemon: Daemon) -> None:
         self.daemon = daemon
-        settings, control = daemon.settings, daemon.control
+        settings, group = daemon.settings, daemon.group
         self.endpoint_routes = EndpointRoutes(registry=daemon.requests.registry, token=settings.fleet_token)
         self.worker_routes = WorkerRoutes(sessions=daemon.jobs.sessions, token=settings.fleet_token)
-        self.operator_access = OperatorAccess(submitter=control.submitter, token=settings.operator_token)
+        self.operator_access = OperatorAccess(submitter=group.submitter, token=settings.operator_token)
 
     def build(self) -> web.Application:
         """Builds the application; the request components must be open."""
-        settings, control = self.daemon.settings, self.daemon.control
+        settings, group = self.daemon.settings, self.daemon.group
         app = web.Application(
             client_max_size=settings.max_body_bytes,
             middlewares=[self._close_when_stopping, answer_errors],
@@ -58,17 +58,15 @@
         self.daemon.requests.gateway.add_routes(app)
         self.endpoint_routes.add_routes(app)
         self.worker_routes.add_routes(app)
-        JobRoutes(
-            replica=control.replica, freshness=control.freshness, submitter=control.submitter
-        ).add_routes(app)
+        JobRoutes(replica=group.replica, freshness=group.freshness, submitter=group.submitter).add_routes(app)
         self._add_operator_routes(app)
         return app
 
     def _add_operator_routes(self, app: web.Application) -> None:
-        daemon, control, access = self.daemon, self.daemon.control, self.operator_access
-        MemberRoutes(membership=control.membership, replica=control.replica, access=access).add_routes(app)
+        daemon, group, access = self.daemon, self.daemon.group, self.operator_access
+        MemberRoutes(membership=group.membership, replica=group.replica, access=access).add_routes(app)
         OperatorRoutes(
-            replica=control.replica,
+            replica=group.replica,
             access=access,
             read_status=lambda index: collect_status(daemon, index=index),
             read_dump=daemon.dump,
@@ -76,7 +74,7 @@
             find_requests=lambda request_id: list(daemon.requests.gateway.records.find(request_id)),
         ).add_routes(app)
         for routes in (WaveRoutes, FleetRoutes):
-            routes(replica=control.replica, access=access, now_ms=control.now_ms).add_routes(app)
+            routes(replica=group.replica, access=access, now_ms=group.now_ms).add_routes(app)
 
     @web.middleware
     async def _close_when_stopping(self, request: web.Request, handler: Handler) -> web.StreamResponse:
--- a/src/hyssopway/daemon/job_components.py
+++ b/src/hyssopway/daemon/job_components.py
@@ -8,7 +8,7 @@
 from hyssopway.worker import WorkerSessions
 
 if TYPE_CHECKING:
-    from .control_components import ControlComponents
+    from .control_group import ControlGroup
     from .fleet_components import FleetComponents
     from .peer_calls import PeerCallHandler
 
@@ -26,49 +26,45 @@
 
     __slots__ = ("home_monitor", "run_revoker", "scheduler", "sessions", "usage_reports")
 
-    def __init__(
-        self, *, control: ControlComponents, fleet: FleetComponents, peer_calls: PeerCallHandler
-    ) -> None:
-        own_name = control.settings.name
+    def __init__(self, *, group: ControlGroup, fleet: FleetComponents, peer_calls: PeerCallHandler) -> None:
+        own_name = group.settings.name
         self.sessions = WorkerSessions(
             own_name=own_name,
-            replica=control.replica,
-            freshness=control.freshness,
-            submitter=control.submitter,
-            clock=control.clock,
+            replica=group.replica,
+            freshness=group.freshness,
+            submitter=group.submitter,
+            clock=group.clock,
             count_requests=fleet.vm_requests.count,
         )
         self.usage_reports = UsageReports()
         self.scheduler = JobScheduler(
-            replica=control.replica,
-            submitter=control.submitter,
-            leads=control.leads,
-            now_ms=control.now_ms,
+            replica=group.replica,
+            submitter=group.submitter,
+            leads=group.leads,
+            now_ms=group.now_ms,
             usage_reports=self.usage_reports,
-            clock=control.clock,
+            clock=group.clock,
         )
         self.home_monitor = HomeMonitor(
             own_name=own_name,
-            replica=control.replica,
-            submitter=control.submitter,
+            replica=group.replica,
+            submitter=group.submitter,
             contacts=peer_calls.contacts,
-            leads=control.leads,
-            clock=control.clock,
+            leads=group.leads,
+            clock=group.clock,
         )
         self.scheduler.planner.find_silent_homes = self.home_monitor.find_silent_homes
-        self.run_revoker = self._build_run_revoker(control=control, peer_calls=peer_calls)
+        self.run_revoker = self._build_run_revoker(group=group, peer_calls=peer_calls)
 
-    def _build_run_revoker(
-        self, *, control: ControlComponents, peer_calls: PeerCallHandler
-    ) -> RunRevoker | None:
-        if control.member is None or control.proposer is None:
+    def _build_run_revoker(self, *, group: ControlGroup, peer_calls: PeerCallHandler) -> RunRevoker | None:
+        if group.member is None or group.proposer is None:
             return None
         return RunRevoker(
-            replica=control.replica,
-            member=control.member,
-            proposer=control.proposer,
+            replica=group.replica,
+            member=group.member,
+            proposer=group.proposer,
             home_monitor=self.home_monitor,
-            confirmed_homes={peer.name for peer in control.settings.peers if peer.member},
+            confirmed_homes={peer.name for peer in group.settings.peers if peer.member},
             confirmed_indexes=peer_calls.confirmed_indexes,
             undecided_ends=peer_calls.undecided_ends,
         )
--- a/src/hyssopway/daemon/load_reports.py
+++ b/src/hyssopway/daemon/load_reports.py
@@ -27,7 +27,7 @@
     members = [peer.name for peer in daemon.settings.peers if peer.member]
     attempt = 0
     while True:
-        if daemon.control.leads():
+        if daemon.group.leads():
             record_load_report(daemon, build_load_report(daemon))
         else:
             attempt += 1
@@ -42,7 +42,7 @@
     A daemon without a log is confirmed by the daemon that it watches, not by the leader. The report therefore
     includes the age of the last contact of each watcher.
     """
-    now = daemon.control.clock()
+    now = daemon.group.clock()
     return {
         "daemon": daemon.settings.name,
         "contacts": {name: now - at for name, at in daemon.peer_calls.contacts.items()},
@@ -65,9 +65,9 @@
 
 def record_load_report(daemon: Daemon, report: dict[str, Any]) -> dict[str, Any]:
     """Records the report of a daemon and returns the name of the leader, empty if unknown."""
-    if not daemon.control.leads():
+    if not daemon.group.leads():
         return {"leader": daemon.member.leader_daemon if daemon.member else ""}
-    now = daemon.control.clock()
+    now = daemon.group.clock()
     contacts = daemon.peer_calls.contacts
     contacts[report["daemon"]] = now
     for name, age_s in report["contacts"].items():
@@ -82,7 +82,7 @@
         return ""
     contacts = dict(daemon.peer_calls.contacts)
     try:
-        answer = await daemon.control.peers.client(target).exchange(
+        answer = await daemon.group.peers.client(target).exchange(
             topic=LOAD_TOPIC, data=to_json(build_load_report(daemon)), timeout_s=CALL_TIMEOUT_S
         )
     except PeerUnreachableError:
--- a/src/hyssopway/daemon/reloading.py
+++ b/src/hyssopway/daemon/reloading.py
@@ -58,7 +58,7 @@
     daemon.http.worker_routes.token = current.fleet_token
     # Open connections stay authenticated; the new secret applies to new connections.
     daemon.peer_server.token = current.peer_token
-    for client in daemon.control.peers.clients.values():
+    for client in daemon.group.peers.clients.values():
         client.token = current.peer_token
     if changed & {"log_level", "log_json"}:
         set_up_logging(level=current.log_level, json_output=current.log_json)
--- a/src/hyssopway/daemon/request_components.py
+++ b/src/hyssopway/daemon/request_components.py
@@ -14,12 +14,12 @@
 from hyssopway.metrics import Metrics
 from hyssopway.routing import CreditLedger, HeldCollector, Homes, Router
 
-from .control_components import nearest_first
+from .control_group import nearest_first
 
 if TYPE_CHECKING:
     import aiohttp
 
-    from .control_components import ControlComponents
+    from .control_group import ControlGroup
 
 EXPIRY_INTERVAL_S = 0.25
 
@@ -28,7 +28,7 @@
     """Endpoints, slot credits and the gateway of callers.
 
     Attributes:
-        control: Replicated state and clients of the other daemons.
+        group: Replicated state and clients of the other daemons.
         metrics: Latencies and counters of requests.
         registry: Endpoints whose home is this daemon.
         ledger: Slot credits issued by this daemon.
@@ -44,8 +44,8 @@
     __slots__ = (
         "claims",
         "collector",
-        "control",
         "gateway",
+        "group",
         "homes",
         "ledger",
         "metrics",
@@ -60,16 +60,16 @@
     claims: ClaimKeeper
     gateway: Gateway
 
-    def __init__(self, *, control: ControlComponents) -> None:
-        self.control = control
-        settings, clock = control.settings, control.clock
+    def __init__(self, *, group: ControlGroup) -> None:
+        self.group = group
+        settings, clock = group.settings, group.clock
         self.metrics = Metrics()
         self.registry = EndpointRegistry(clock=clock, may_serve=self._vm_may_serve)
         self.ledger = CreditLedger(registry=self.registry, clock=clock, entries=len(settings.peers))
         self.homes = Homes(
             own_name=settings.name,
             ledger=self.ledger,
-            peers=control.peers,
+            peers=group.peers,
             others={peer.name: peer.zone == settings.zone for peer in settings.others()},
             clock=clock,
         )
@@ -78,7 +78,7 @@
             own_name=settings.name,
             ledger=self.ledger,
             router=self.router,
-            peers=control.peers,
+            peers=group.peers,
             others=nearest_first(settings),
             near=frozenset(peer.name for peer in settings.others() if peer.zone == settings.zone),
         )
@@ -86,23 +86,23 @@
 
     def open(self) -> None:
         """Opens the HTTP clients, which need a running event loop, and builds the gateway."""
-        control = self.control
+        group = self.group
         self.session = open_session(reuse_connections=True)
         self.once_session = open_session(reuse_connections=False)
-        self.claims = ClaimKeeper(own_name=control.settings.name, submitter=control.submitter)
+        self.claims = ClaimKeeper(own_name=group.settings.name, submitter=group.submitter)
         self.gateway = Gateway(
-            replica=control.replica,
-            freshness=control.freshness,
+            replica=group.replica,
+            freshness=group.freshness,
             router=self.router,
             forwarder=Forwarder(
                 claims=self.claims,
                 session=self.session,
                 once_session=self.once_session,
-                clock=control.clock,
+                clock=group.clock,
             ),
             metrics=self.metrics,
-            max_body_bytes=control.settings.max_body_bytes,
-            clock=control.clock,
+            max_body_bytes=group.settings.max_body_bytes,
+            clock=group.clock,
         )
 
     async def close(self) -> None:
@@ -119,7 +119,7 @@
 
     def _vm_may_serve(self, name: str) -> bool:
         # A VM without a worker is not in the replicated state, so it cannot be drained through it.
-        vm = self.control.replica.state.tables.vms.get(name)
+        vm = self.group.replica.state.tables.vms.get(name)
         return vm is None or vm.state is VmState.READY
 
 
--- a/src/hyssopway/daemon/status.py
+++ b/src/hyssopway/daemon/status.py
@@ -33,7 +33,7 @@
         "member_id": member.member_id if member else "",
         "has_agreed_state": state.tables.wall_ms > 0 or _has_committed_configuration(member),
         "role": member.role if member else "entry",
-        "leader": member.leader_daemon if member else daemon.control.submitter.leader,
+        "leader": member.leader_daemon if member else daemon.group.submitter.leader,
         "applied_index": state.applied_index,
         "confirmed": daemon.freshness.is_valid,
         "generation": state.generation(),
@@ -77,7 +77,7 @@
         "daemons": statuses,
         "metrics": merged.summarise(),
         "rollout": _describe_rollout(daemon, statuses=statuses, index=wanted),
-        "fleet": describe_fleet(daemon.replica.state, now_ms=daemon.control.now_ms()),
+        "fleet": describe_fleet(daemon.replica.state, now_ms=daemon.group.now_ms()),
     }
 
 
@@ -90,7 +90,7 @@
         "behind": [status["daemon"] for status in reachable if status["applied_index"] < index],
         "unreachable": [status["daemon"] for status in statuses if not status["reachable"]],
         "authority_ttl_s": AUTHORITY_TTL_S,
-        "old_ends_in_s": daemon.control.applied_index_history.stale_authority_left_s(index),
+        "old_ends_in_s": daemon.group.applied_index_history.stale_authority_left_s(index),
     }
 
 
@@ -98,7 +98,7 @@
     if name == daemon.settings.name:
         return own_status(daemon)
     try:
-        client = daemon.control.peers.client(name)
+        client = daemon.group.peers.client(name)
         answer = await client.exchange(topic="status", data=b"{}", timeout_s=CALL_TIMEOUT_S)
     except PeerUnreachableError as error:
         zone = daemon.settings.peer(name=name).zone
--- a/src/hyssopway/operator_api/member_routes.py
+++ b/src/hyssopway/operator_api/member_routes.py
@@ -103,10 +103,10 @@
                 pass
             case Result(error=failure):
                 return Error(failure)
-        command = RequestMemberChange(action=body.action, member=body.member, member_id=member_id, **metadata)
-        done = replace(command, request_id=f"{command.request_id}/done", done=True)
-        resent = command.request_id in self._stored_outcomes()
-        match await self.access.submitter.submit(command, timeout_s=SUBMIT_TIMEOUT_S):
+        asked = RequestMemberChange(action=body.action, member=body.member, member_id=member_id, **metadata)
+        done = replace(asked, request_id=f"{asked.request_id}/done", done=True)
+        resent = asked.request_id in self._stored_outcomes()
+        match await self.access.submitter.submit(asked, timeout_s=SUBMIT_TIMEOUT_S):
             case Result(error=Failure() as failure):
                 return Error(failure)
         if done.request_id in self._stored_outcomes():
--- a/tests/daemon/test_applied_index_history.py
+++ b/tests/daemon/test_applied_index_history.py
@@ -1,14 +1,14 @@
-"""Expiry of authority on older state."""
+"""End of authority on older state."""
 
 from __future__ import annotations
 
 import pytest
 
-from hyssopway.daemon.applied_index_history import MAX_SAMPLES, SAMPLE_INTERVAL_S, AppliedIndexHistory
+from hyssopway.daemon.applied_index_history import MAX_SAMPLES, SAMPLE_S, AppliedIndexHistory
 
 
-class Inputs:
-    """Clock and applied index that the test sets."""
+class Steps:
+    """A clock and an index that the test sets."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -21,27 +21,27 @@
 )
 def test_authority_expires_one_ttl_after_the_index_was_applied(index, after_s, left_s):
     """Guards against reporting expiry while a partitioned process still has authority on older state."""
-    inputs = Inputs()
-    times = AppliedIndexHistory(clock=lambda: inputs.now, read_index=lambda: inputs.index)
-    inputs.index = 6
+    steps = Steps()
+    times = AppliedIndexHistory(clock=lambda: steps.now, read_index=lambda: steps.index)
+    steps.index = 6
     times.sample()
-    inputs.now += after_s
+    steps.now += after_s
     found = times.stale_authority_left_s(index)
     assert found == (None if left_s is None else pytest.approx(left_s))
 
 
 def test_samples_are_bounded_and_conservative():
     """Guards against unbounded growth, and against a dropped sample that shortens the reported time."""
-    inputs = Inputs()
-    times = AppliedIndexHistory(clock=lambda: inputs.now, read_index=lambda: inputs.index)
+    steps = Steps()
+    times = AppliedIndexHistory(clock=lambda: steps.now, read_index=lambda: steps.index)
     for _ in range(10 * MAX_SAMPLES):
-        inputs.now += SAMPLE_INTERVAL_S / 10
-        inputs.index += 1
+        steps.now += SAMPLE_S / 10
+        steps.index += 1
         times.sample()
     assert len(times.samples) <= MAX_SAMPLES
-    assert times.stale_authority_left_s(inputs.index) == pytest.approx(3.0)
+    assert times.stale_authority_left_s(steps.index) == pytest.approx(3.0)
     oldest_at, oldest_index = times.samples[0]
     # An index older than all samples is dated by the oldest sample, which is later than its actual time.
     assert times.stale_authority_left_s(oldest_index - 50) == pytest.approx(
-        max(0.0, oldest_at + 3.0 - inputs.now)
+        max(0.0, oldest_at + 3.0 - steps.now)
     )
