--- a/src/hyssopway/daemon/membership_manager.py
+++ b/src/hyssopway/daemon/membership_manager.py
@@ -58,8 +58,8 @@
         match await self._call_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
             case Result(tag="ok", ok=found):
                 known = {item["member"] for item in found["members"]}
-                identities = await asyncio.gather(*(self._fetch_member_id(daemon) for daemon in self.daemons))
-                waiting = sorted(name for name in identities if name and name not in known)
+                member_ids = await asyncio.gather(*(self._fetch_member_id(daemon) for daemon in self.daemons))
+                waiting = sorted(name for name in member_ids if name and name not in known)
                 return Ok({**found, "waiting": waiting})
             case failed:
                 return failed
@@ -74,12 +74,12 @@
         """
         if action == "add":
             # The member ID is stored in the data folder, so only the running daemon can report it.
-            identity = (
+            member_id = (
                 await self._fetch_member_id(daemon_of(member)) if daemon_of(member) in self.daemons else ""
             )
-            if not identity or ("/" in member and member != identity):
+            if not member_id or ("/" in member and member != member_id):
                 return Error(_unknown_member(f"no running daemon has the control member {member!r}"))
-            return Ok(identity)
+            return Ok(member_id)
         match await self._call_leader(topic=LIST_TOPIC, body={}, timeout_s=timeout_s):
             case Result(tag="ok", ok=found):
                 names = [item["member"] for item in found["members"]]
@@ -116,19 +116,23 @@
 
     async def _call_leader(self, *, topic: str, body: Any, timeout_s: float) -> Result[Any, Failure]:
         deadline = self.clock() + timeout_s
-        hint, attempt, sent = "", 0, False
+        leader_hint, attempt, is_uncertain = "", 0, False
         while self.clock() < deadline:
-            target = hint or self._known_leader() or self.daemons[attempt % len(self.daemons)]
+            target = leader_hint or self._known_leader() or self.daemons[attempt % len(self.daemons)]
             attempt += 1
             answer: dict[str, Any] = {}
             try:
                 answer = await self._call(target, topic=topic, body=body)
             except PeerUnreachableError:
-                sent = True
+                is_uncertain = True
             if "found" in answer:
                 return Ok(answer["found"])
             failure = answer.get("failure", {})
-            if sent and body.get("action") == "remove" and failure.get("code") == ResultCode.UNKNOWN_MEMBER:
+            if (
+                is_uncertain
+                and body.get("action") == "remove"
+                and failure.get("code") == ResultCode.UNKNOWN_MEMBER
+            ):
                 # An earlier attempt removed the member and its answer was lost.
                 return Ok({"member": body["member"]})
             if failure and failure["code"] != ResultCode.NOT_LEADER:
@@ -140,10 +144,10 @@
                         retry_after_s=failure["retry_after_s"],
                     )
                 )
-            hint = answer.get("leader", "") if answer.get("leader") != target else ""
-            if not hint:
+            leader_hint = answer.get("leader", "") if answer.get("leader") != target else ""
+            if not leader_hint:
                 await asyncio.sleep(RETRY_S)
-        code = ResultCode.OUTCOME_UNKNOWN if sent and topic == CHANGE_TOPIC else ResultCode.NO_QUORUM
+        code = ResultCode.OUTCOME_UNKNOWN if is_uncertain and topic == CHANGE_TOPIC else ResultCode.NO_QUORUM
         work = WorkState.MAY_HAVE_RUN if code is ResultCode.OUTCOME_UNKNOWN else WorkState.NOT_RUN
         return Error(Failure(code=code, message="no leader answered in time", work=work, retry_after_s=1.0))
 
--- a/src/hyssopway/operator_api/bodies.py
+++ b/src/hyssopway/operator_api/bodies.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteBody:
-    """Promotes the trial document to production.
+    """Promotes a document that the trial environment has accepted.
 
     Attributes:
         digest: Digest of the document.
--- a/src/hyssopway/operator_api/member_routes.py
+++ b/src/hyssopway/operator_api/member_routes.py
@@ -23,7 +23,7 @@
 
     from .operator_access import OperatorAccess, RequestMetadata
 
-MEMBERSHIP_TIMEOUT_S = 8.0
+LEADER_TIMEOUT_S = 8.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -84,7 +84,7 @@
 
     async def list_members(self, request: web.Request) -> web.Response:
         """Lists members, and running members that are not added yet."""
-        return _to_response(await self.membership.list_members(timeout_s=MEMBERSHIP_TIMEOUT_S))
+        return _to_response(await self.membership.list_members(timeout_s=LEADER_TIMEOUT_S))
 
     async def change_members(self, request: web.Request) -> web.Response:
         """Adds a learner, promotes or removes a member."""
@@ -105,16 +105,16 @@
                 return Error(failure)
         asked = RequestMemberChange(action=body.action, member=body.member, member_id=member_id, **metadata)
         done = replace(asked, request_id=f"{asked.request_id}/done", done=True)
-        resent = asked.request_id in self._stored_outcomes()
+        is_retry = asked.request_id in self._stored_outcomes()
         match await self.access.submitter.submit(asked, timeout_s=SUBMIT_TIMEOUT_S):
             case Result(error=Failure() as failure):
                 return Error(failure)
         if done.request_id in self._stored_outcomes():
             return Ok({"member": member_id})
         changed = await self.membership.change(
-            action=body.action, member_id=member_id, timeout_s=MEMBERSHIP_TIMEOUT_S
+            action=body.action, member_id=member_id, timeout_s=LEADER_TIMEOUT_S
         )
-        if resent and changed.is_error() and changed.error.code is ResultCode.UNKNOWN_MEMBER:
+        if is_retry and changed.is_error() and changed.error.code is ResultCode.UNKNOWN_MEMBER:
             # An earlier attempt removed the member and its answer was lost.
             changed = Ok({"member": member_id})
         if changed.is_ok():
@@ -127,7 +127,7 @@
         if stored is not None:
             return Ok(stored.outcome.reference)
         return await self.membership.resolve(
-            action=body.action, member=body.member, timeout_s=MEMBERSHIP_TIMEOUT_S
+            action=body.action, member=body.member, timeout_s=LEADER_TIMEOUT_S
         )
 
     def _stored_outcomes(self) -> dict[str, StoredOutcome]:
--- a/src/hyssopway/operator_api/operator_routes.py
+++ b/src/hyssopway/operator_api/operator_routes.py
@@ -96,7 +96,7 @@
         )
 
     async def promote(self, request: web.Request) -> web.Response:
-        """Promotes the trial document to production."""
+        """Promotes a document that the trial environment has accepted to production."""
         return await self.access.change(
             request,
             _PROMOTE_BODY,
@@ -224,7 +224,7 @@
         return json_response(shown | {"runs": runs, "left": free})
 
     async def explain_job(self, request: web.Request) -> web.Response:
-        """Shows a job and the reasons why it is still pending."""
+        """Shows a job and the rule that keeps it pending, if any."""
         job = self.replica.state.tables.jobs.get(request.match_info["job"])
         if job is None:
             message = f"job {request.match_info['job']!r} does not exist"
