--- a/src/hyssopway/daemon/control_group.py
+++ b/src/hyssopway/daemon/control_group.py
@@ -111,7 +111,7 @@
         )
 
     async def sample_index(self) -> None:
-        """Samples the applied index for as long as the daemon runs."""
+        """Samples the applied index for the lifetime of the daemon."""
         while True:
             self.applied_index_history.sample()
             await asyncio.sleep(SAMPLE_S)
--- a/src/hyssopway/operator_api/operator_routes.py
+++ b/src/hyssopway/operator_api/operator_routes.py
@@ -109,7 +109,7 @@
         """Shows the active document of an environment."""
         stored = self.replica.state.tables.documents.get(request.match_info["environment"])
         if stored is None:
-            message = f"no document is in force in {request.match_info['environment']!r}"
+            message = f"environment {request.match_info['environment']!r} has no active document"
             return failure_response(Failure(code=ResultCode.UNKNOWN_DOCUMENT, message=message))
         return json_response(stored)
 
--- a/tests/operator_api/test_bad_requests.py
+++ b/tests/operator_api/test_bad_requests.py
@@ -95,15 +95,15 @@
     """Guards against a team that reads or cancels the jobs of another team."""
     owner, other = [await operator.grant_key(team) for team in ("casco-bay", "granite-hearth")]
 
-    async def ask(method: str, path: str, key: str, **options: object) -> tuple[int, dict]:
+    async def send(method: str, path: str, key: str, **options: object) -> tuple[int, dict]:
         headers = {"Authorization": f"Bearer {key}"}
         async with session.request(method, operator.url + path, headers=headers, **options) as answer:
             return answer.status, await answer.json()
 
-    job = (await ask("POST", "/v1/jobs", owner, json=JOB))[1]["job_id"]
-    assert [item["job_id"] for item in (await ask("GET", "/v1/jobs", owner))[1]["jobs"]] == [job]
-    assert (await ask("GET", "/v1/jobs", other))[1]["jobs"] == []
+    job = (await send("POST", "/v1/jobs", owner, json=JOB))[1]["job_id"]
+    assert [item["job_id"] for item in (await send("GET", "/v1/jobs", owner))[1]["jobs"]] == [job]
+    assert (await send("GET", "/v1/jobs", other))[1]["jobs"] == []
     for method in ("GET", "DELETE"):
-        status, body = await ask(method, f"/v1/jobs/{job}", other)
+        status, body = await send(method, f"/v1/jobs/{job}", other)
         assert (status, body["code"]) == (404, 701)
-    assert (await ask("GET", f"/v1/jobs/{job}", owner))[1]["status"] != "cancelled"
+    assert (await send("GET", f"/v1/jobs/{job}", owner))[1]["status"] != "cancelled"
