--- a/src/hyssopway/control/cluster_clock.py
+++ b/src/hyssopway/control/cluster_clock.py
@@ -1,4 +1,4 @@
-"""Time of the agreed state."""
+"""Time of the replicated state."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 
 class ClusterClock:
-    """Milliseconds that only a leader moves forward, by its monotonic clock.
+    """Cluster time in milliseconds, which only the leader advances, by its monotonic clock.
 
-    Wall clocks step. A daemon whose wall clock is a day ahead would otherwise end the time for which claims
-    are kept, and a resend would run a second time. A new leader starts where the last applied command stood,
-    so agreed time may run slow over a change of leader but never fast.
+    Wall clocks may jump. A leader whose wall clock is a day ahead would otherwise expire claims too early, and a
+    retry would run a second time. A new leader starts from the time of the last applied command,
+    so cluster time may lose time in a change of leader but never runs ahead.
 
     Attributes:
-        last_ms: Last time given out or taken over.
-        last_at: Local time of that.
+        last_ms: Last time returned or taken from an applied command.
+        last_at: Local time of `last_ms` in seconds.
     """
 
-    __slots__ = ("clock", "last_ms", "last_read_s")
+    __slots__ = ("clock", "last_at", "last_ms")
 
     def __init__(self, *, clock: Clock) -> None:
         self.clock = clock
         self.last_ms = 0
-        self.last_read_s = clock()
+        self.last_at = clock()
 
     def read_ms(self, *, applied_ms: int) -> int:
         """Returns the time for the next command.
@@ -36,10 +36,10 @@
         now = self.clock()
         if applied_ms > self.last_ms:
             self.last_ms = applied_ms
-            self.last_read_s = now
-        elapsed_ms = int((now - self.last_read_s) * 1000)
+            self.last_at = now
+        elapsed_ms = int((now - self.last_at) * 1000)
         self.last_ms += elapsed_ms
-        self.last_read_s += elapsed_ms / 1000
+        self.last_at += elapsed_ms / 1000
         return self.last_ms
 
 
--- a/src/hyssopway/dispatch/wave_choice.py
+++ b/src/hyssopway/dispatch/wave_choice.py
@@ -1,32 +1,32 @@
-"""Decides which machines of a wave are emptied next.
+"""Selection of the machines of a maintenance wave that are drained next.
 
-Answers the load pattern of a wave that must end in time while the demand of the pools rises and falls by turns:
-machines with the least work go first, machines of a pool with waiting work only when the wave would be late, and
-never so many of a pool that little of it is left.
+A wave must end before its deadline while the demand of the pools rises and falls in bursts. Machines with the least
+CPU in use go first. Machines of a pool with waiting tasks, and more than a bounded share of a pool, are selected only
+when the wave would miss its deadline otherwise.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# Share of a pool that a wave may keep closed or down at once, unless the pool has no work.
+# Share of a pool that may be cordoned or down at once; it applies neither to idle machines nor to a late wave.
 MAX_POOL_SHARE = 0.34
-# Time that one machine needs from its choice until it is back.
-CYCLE_S = 5.0
-# The wave should end this long before its deadline.
-MARGIN_S = 2.0
+# Time that one machine needs from its selection until it is back.
+MACHINE_CYCLE_S = 5.0
+# A wave should end this long before its deadline.
+DEADLINE_MARGIN_S = 2.0
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Candidate:
-    """A machine that waits for its maintenance.
+class WaveCandidate:
+    """A machine whose maintenance in a wave has not begun.
 
     Attributes:
-        machine_id: The machine.
-        vm_id: Its VM.
-        pool: Its pool.
-        busy_millis: Processor in use on it.
-        waiting_millis: Processor that waits for the pool.
+        machine_id: ID of the machine.
+        vm_id: ID of its VM.
+        pool: Name of its pool.
+        busy_millis: CPU in use on the VM in millicores.
+        waiting_millis: CPU demand of tasks that wait for the pool in millicores.
     """
 
     machine_id: str
@@ -36,39 +36,46 @@
     waiting_millis: int
 
 
-def choose_machines(
+def select_machines(
     *,
-    candidates: list[Candidate],
+    candidates: list[WaveCandidate],
     pool_sizes: dict[str, int],
-    closed_by_pool: dict[str, int],
-    room: int,
-    left_s: float,
+    unavailable_by_pool: dict[str, int],
+    max_added: int,
+    remaining_s: float,
     max_down: int,
-) -> list[Candidate]:
-    """Returns the machines to empty now.
+) -> list[WaveCandidate]:
+    """Returns the machines to drain now.
 
     Args:
-        candidates: Machines that have not begun.
+        candidates: Machines whose maintenance has not begun.
         pool_sizes: Number of VMs by pool.
-        closed_by_pool: VMs that are closed or down for the wave by pool.
-        room: Number of machines that may be added to those being emptied or down.
-        left_s: Time until the deadline.
-        max_down: Most machines down at once.
+        unavailable_by_pool: Number of VMs that are cordoned or down for the wave, by pool.
+        max_added: Number of machines that may join those that are draining or down.
+        remaining_s: Seconds until the deadline of the wave.
+        max_down: Largest number of machines that may be down at once.
     """
-    rounds_left = -(-len(candidates) // max(1, max_down))
-    is_pressed = left_s < rounds_left * CYCLE_S + MARGIN_S
-    chosen: list[Candidate] = []
-    closed = dict(closed_by_pool)
-    for one in sorted(candidates, key=lambda one: (one.waiting_millis > 0, one.busy_millis, one.machine_id)):
-        if len(chosen) >= room:
+    remaining_rounds = -(-len(candidates) // max(1, max_down))
+    is_late = remaining_s < remaining_rounds * MACHINE_CYCLE_S + DEADLINE_MARGIN_S
+    selected: list[WaveCandidate] = []
+    unavailable = dict(unavailable_by_pool)
+    for candidate in sorted(
+        candidates,
+        key=lambda candidate: (candidate.waiting_millis > 0, candidate.busy_millis, candidate.machine_id),
+    ):
+        if len(selected) >= max_added:
             break
-        most = max(1, int(pool_sizes.get(one.pool, 1) * MAX_POOL_SHARE))
-        is_idle = one.busy_millis == 0 and one.waiting_millis == 0
-        if not is_pressed and not is_idle and (closed.get(one.pool, 0) >= most or one.waiting_millis > 0):
+        max_unavailable = max(1, int(pool_sizes.get(candidate.pool, 1) * MAX_POOL_SHARE))
+        is_idle = candidate.busy_millis == 0 and candidate.waiting_millis == 0
+        if (
+            not is_late
+            and not is_idle
+            and (unavailable.get(candidate.pool, 0) >= max_unavailable or candidate.waiting_millis > 0)
+        ):
             continue
-        chosen.append(one)
-        closed[one.pool] = closed.get(one.pool, 0) + 1
-    return chosen
+        selected.append(candidate)
+        unavailable[candidate.pool] = unavailable.get(candidate.pool, 0) + 1
+    return selected
 
 
-__all__ = ["Candidate", "choose_machines"]
+__all__ = ["WaveCandidate", "select_machines"]
--- a/src/hyssopway/node/control_node.py
+++ b/src/hyssopway/node/control_node.py
@@ -1,4 +1,4 @@
-"""A node with a disk: a member of the group, and the place of all decisions while it leads."""
+"""A node with a disk: a member of the Raft group that runs all control work of the deployment while it leads."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 )
 from hyssopway.workflow import WorkflowState
 
-from .control_calls import ControlCalls
-from .group_keeper import GroupKeeper
+from .control_handlers import ControlHandlers
+from .membership_manager import MembershipManager
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -44,30 +44,33 @@
     from .node_settings import NodeSettings
     from .request_service import RequestService
 
-LEAD_CHECK_S = 0.02
-JOIN_S = 0.5
+LEADERSHIP_CHECK_INTERVAL_S = 0.02
+JOIN_INTERVAL_S = 0.5
 JOIN_TIMEOUT_S = 0.8
-LEFT_OUT_S = 2.0
-STOPPING_TIMEOUT_S = 0.3
+ASSUME_REMOVED_AFTER_S = 2.0
+STOP_NOTICE_TIMEOUT_S = 0.3
 SNAPSHOT_ENTRIES = 5000
-# Control nodes of one deployment are about a millisecond apart; the shortest silence stays above the age up to which
-# a leader may order (`dispatch.leadership`).
+# Control nodes of a deployment are about a millisecond apart, which allows short timeouts. The shortest election
+# timeout must stay above the age of a confirmation up to which a leader may send orders (`dispatch.leadership`).
 TIMERS = Timers(heartbeat_s=0.08, election_min_s=0.45, election_max_s=0.8)
 
 
 class ControlNode:
-    """Member, leader's decisions and answers to other nodes.
+    """Runs the member, the work of the leader and the server for other nodes.
 
     Attributes:
         settings: Settings of the node.
-        directory: Clients of other nodes.
-        state: Agreed state.
-        member: Own member.
-        finder: Knows the leader.
-        relay: Passes requests to the leader.
-        service: Answers requests while this node leads.
-        new_controller: Builds the decisions of a term.
-        controller: Decisions of the present term; None while this node does not lead.
+        directory: Clients of the other nodes.
+        state: Replicated state.
+        member: Member of this node.
+        finder: Finds the current leader.
+        relay: Forwards requests to the leader.
+        membership_manager: Changes the members of the group while this node leads.
+        service: Handles requests while this node leads.
+        new_controller: Creates the leader controller of a term.
+        controller: Runs the work of the leader in the current term; None while this node does not lead.
+        peer_server: Server for calls of other nodes.
+        tasks: Background tasks.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         new_controller: Callable[[Leadership], LeaderController],
     ) -> None:
         if settings.data_dir is None:
-            raise ValueError("a control node needs a data folder")
+            raise ValueError("a control node requires data_dir")
         self.settings = settings
         self.service = service
         self.new_controller = new_controller
@@ -97,22 +100,24 @@
             directory=self.directory, seed_hosts=settings.seed_hosts, clock=monotonic_s
         )
         self.relay = Relay(finder=self.finder)
-        self.keeper = GroupKeeper(member=self.member, tolerated_losses=settings.tolerated_losses)
+        self.membership_manager = MembershipManager(
+            member=self.member, tolerated_losses=settings.tolerated_losses
+        )
         self.controller: LeaderController | None = None
-        calls = ControlCalls(
+        handlers = ControlHandlers(
             member=self.member,
-            exchanges={
-                RELAY: self._take_relayed,
-                LEADER: self._tell_leader,
-                JOIN: self._take_joiner,
-                STOPPING: self._take_stopping,
+            exchange_handlers={
+                RELAY: self._handle_relayed,
+                LEADER: self._handle_leader_query,
+                JOIN: self._handle_join,
+                STOPPING: self._handle_stop_notice,
             },
         )
-        self.peer_server = PeerServer(handlers=calls, token=PEER_TOKEN)
+        self.peer_server = PeerServer(handlers=handlers, token=PEER_TOKEN)
         self.tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Opens durable state, listens to other nodes and starts all tasks."""
+        """Opens durable state, starts the server for other nodes and starts all background tasks."""
         initial = None
         if self.settings.is_first_start and self.settings.host in self.settings.seed_hosts:
             voters = tuple(f"{host}/0" for host in sorted(self.settings.seed_hosts))
@@ -125,9 +130,9 @@
             "apply": member.apply_committed,
             "elections": lambda: run_elections(member=member, transport=self.directory, rng=rng),
             "replication": lambda: run_replication(member=member, transport=self.directory),
-            "group": self.keeper.run,
-            "join": self._join,
-            "lead": self._lead,
+            "group": self.membership_manager.run,
+            "join": self._join_group,
+            "lead": self._run_leadership,
             "finder": self.finder.run,
         }
         self.tasks = [
@@ -135,17 +140,17 @@
         ]
 
     async def resign_leadership(self) -> None:
-        """Gives up the lead, if this node has it, and lets the others elect a leader at once."""
+        """Steps down if this node leads, and notifies the other voters so that they elect a leader at once."""
         member = self.member
         if not member.is_leader:
             return
         member.suspend_candidacy()
-        member.step_down(reason="the node stops")
+        member.step_down(reason="the node is stopping")
         others = [daemon_of(voter) for voter in member.configuration.voters if voter != member.member_id]
-        await asyncio.gather(*(self._tell_stopping(other) for other in others))
+        await asyncio.gather(*(self._send_stop_notice(other) for other in others))
 
     async def stop(self) -> None:
-        """Stops all tasks and closes durable state."""
+        """Stops all background tasks and closes durable state."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -154,7 +159,7 @@
         await self.member.stop()
 
     def read_gauges(self) -> dict[str, float]:
-        """Returns present values for metrics and dumps."""
+        """Returns the current gauge values for metrics and dumps."""
         member, tables = self.member, self.state.tables
         controller = self.controller
         now = member.clock()
@@ -176,7 +181,7 @@
         }
 
     async def answer(self, request: RelayedRequest) -> RelayedReply:
-        """Answers a request here if this node leads; the status is 0 when it does not."""
+        """Handles a request if this node leads; otherwise returns status 0 and the leader, if known."""
         controller = self.controller
         if controller is None:
             return RelayedReply(status=0, leader=self.member.leader_daemon)
@@ -191,7 +196,7 @@
             return RelayedReply(status=500)
 
     async def serve(self, request: RelayedRequest, *, timeout_s: float) -> RelayedReply:
-        """Answers a request that arrived at this node, here or through the leader.
+        """Handles a request that arrived at this node, or forwards it to the leader.
 
         Raises:
             UnansweredError: No leader answered in time.
@@ -202,10 +207,10 @@
                 return reply
         return await self.relay.send(request, timeout_s=timeout_s)
 
-    async def _lead(self) -> None:
+    async def _run_leadership(self) -> None:
         member = self.member
         while True:
-            await asyncio.sleep(LEAD_CHECK_S)
+            await asyncio.sleep(LEADERSHIP_CHECK_INTERVAL_S)
             if not member.is_leader or member.applied_index < member.term_start_index:
                 continue
             leadership = Leadership(member=member, state=self.state, clock=monotonic_s)
@@ -222,17 +227,19 @@
             finally:
                 self.controller = None
 
-    async def _join(self) -> None:
-        """Asks to join for as long as the group does not hold this member."""
+    async def _join_group(self) -> None:
+        """Requests to join whenever this member is not part of the group."""
         while True:
             member = self.member
-            # A member that was removed while it was down still has its old configuration; it hears no leader.
-            is_left_out = not member.is_leader and member.clock() - member.heard_at > LEFT_OUT_S
-            if is_left_out or member.member_id not in member.configuration.members:
-                await self._ask_to_join()
-            await asyncio.sleep(JOIN_S)
+            # A member that was removed while it was down still has its old configuration but hears no leader.
+            is_probably_removed = (
+                not member.is_leader and member.clock() - member.heard_at > ASSUME_REMOVED_AFTER_S
+            )
+            if is_probably_removed or member.member_id not in member.configuration.members:
+                await self._request_join()
+            await asyncio.sleep(JOIN_INTERVAL_S)
 
-    async def _ask_to_join(self) -> None:
+    async def _request_join(self) -> None:
         leader = self.finder.leader
         if not leader or leader == self.settings.host:
             return
@@ -241,37 +248,37 @@
                 topic=JOIN, data=self.member.member_id.encode(), timeout_s=JOIN_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            log_event(Event.LEADER_MISSING, reason=f"cannot ask to join: {error}")
+            log_event(Event.LEADER_MISSING, reason=f"cannot send a join request: {error}")
 
-    async def _take_relayed(self, data: bytes) -> bytes:
+    async def _handle_relayed(self, data: bytes) -> bytes:
         return (await self.answer(RelayedRequest.decode(data))).encode()
 
-    async def _tell_leader(self, data: bytes) -> bytes:
+    async def _handle_leader_query(self, data: bytes) -> bytes:
         members = sorted({daemon_of(member) for member in self.member.configuration.members})
         leads = self.controller is not None and self.controller.leadership.may_order()
         answer = {"leads": leads, "leader": self.member.leader_daemon, "members": members}
         return json.dumps(answer).encode()
 
-    async def _tell_stopping(self, host: str) -> None:
+    async def _send_stop_notice(self, host: str) -> None:
         data = self.member.member_id.encode()
         try:
             await self.directory.client(host).exchange(
-                topic=STOPPING, data=data, timeout_s=STOPPING_TIMEOUT_S
+                topic=STOPPING, data=data, timeout_s=STOP_NOTICE_TIMEOUT_S
             )
         except PeerUnreachableError as error:
-            log_event(Event.LEADER_MISSING, reason=f"cannot tell that this node stops: {error}")
+            log_event(Event.LEADER_MISSING, reason=f"cannot send a stop notice: {error}")
 
-    async def _take_stopping(self, data: bytes) -> bytes:
-        """Takes in that the leader has given up, so that nobody waits for its silence."""
+    async def _handle_stop_notice(self, data: bytes) -> bytes:
+        """Handles the stop notice of a leader by suspecting it at once, without waiting for `doubt_s`."""
         if self.member.leader_id == data.decode():
             self.member.leader_id = ""
             self.member.heard_at = float("-inf")
             self.member.leader_suspicion.start()
         return b""
 
-    async def _take_joiner(self, data: bytes) -> bytes:
+    async def _handle_join(self, data: bytes) -> bytes:
         if self.member.is_leader:
-            self.keeper.take_joiner(data.decode())
+            self.membership_manager.record_join_request(data.decode())
         return b""
 
 
