--- a/src/hyssopway/daemon/fleet_parts.py
+++ b/src/hyssopway/daemon/fleet_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that maintain the fleet."""
+"""Components of a daemon that maintain the fleet."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 if TYPE_CHECKING:
     from .control_group import ControlGroup
-    from .request_path import RequestPath
+    from .request_components import RequestComponents
 
 
-class FleetParts:
-    """Requests in progress on VMs and the leader's control of the fleet.
+class FleetComponents:
+    """Counter of requests in progress on VMs, fleet controller and platform client.
 
     Attributes:
-        group: Agreed state and ways to the other daemons.
-        requests: Request path.
-        platform: Client of the platform while open; None without one.
+        group: Replicated state and clients of the other daemons.
+        requests: Components that forward requests to endpoints.
+        platform: Client of the platform; None before `open` and without a platform URL.
         vm_requests: Counts the requests in progress on a VM.
-        controller: Drains, moves, waves and zones; acts on the leader.
+        controller: Controls drains, moves, waves and zones; active only on the leader.
     """
 
     __slots__ = ("controller", "group", "platform", "requests", "vm_requests")
 
-    def __init__(self, *, group: ControlGroup, requests: RequestPath) -> None:
+    def __init__(self, *, group: ControlGroup, requests: RequestComponents) -> None:
         self.group = group
         self.requests = requests
         self.platform: PlatformClient | None = None
@@ -44,7 +44,7 @@
         )
 
     def open(self) -> None:
-        """Opens the client of the platform."""
+        """Opens the client of the platform if the settings name its URL."""
         url = self.group.settings.platform_url
         if url is not None:
             self.platform = PlatformClient.open(url=url)
@@ -56,4 +56,4 @@
             await self.platform.close()
 
 
-__all__ = ["FleetParts"]
+__all__ = ["FleetComponents"]
--- a/src/hyssopway/daemon/http_application.py
+++ b/src/hyssopway/daemon/http_application.py
@@ -35,7 +35,7 @@
         daemon: The daemon.
         endpoint_routes: Routes of endpoints.
         worker_routes: Routes of workers.
-        operator_access: What all routes of operators share.
+        operator_access: Authentication and command submission shared by all routes of operators.
     """
 
     __slots__ = ("daemon", "endpoint_routes", "operator_access", "worker_routes")
@@ -48,7 +48,7 @@
         self.operator_access = OperatorAccess(submitter=group.submitter, token=settings.operator_token)
 
     def build(self) -> web.Application:
-        """Returns the application; the request path must be open."""
+        """Builds the application; the request components must be open."""
         settings, group = self.daemon.settings, self.daemon.group
         app = web.Application(
             client_max_size=settings.max_body_bytes,
@@ -64,13 +64,13 @@
 
     def _add_operator_routes(self, app: web.Application) -> None:
         daemon, group, access = self.daemon, self.daemon.group, self.operator_access
-        MemberRoutes(members=group.members, replica=group.replica, access=access).add_routes(app)
+        MemberRoutes(membership=group.membership, replica=group.replica, access=access).add_routes(app)
         OperatorRoutes(
             replica=group.replica,
             access=access,
             read_status=lambda index: collect_status(daemon, index=index),
             read_dump=daemon.dump,
-            # The gateway is built later than the routes.
+            # Looked up at each call: the gateway does not exist yet when this object is created.
             find_requests=lambda request_id: list(daemon.requests.gateway.records.find(request_id)),
         ).add_routes(app)
         for routes in (WaveRoutes, FleetRoutes):
@@ -80,7 +80,7 @@
     async def _close_when_stopping(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         answer = await handler(request)
         if self.daemon.stopping and not answer.prepared:
-            # A caller that keeps its connection would send into its end otherwise.
+            # Otherwise a caller could reuse the connection for a request just before the daemon closes it.
             answer.force_close()
         return answer
 
--- a/src/hyssopway/daemon/load_push.py
+++ b/src/hyssopway/daemon/load_reports.py
@@ -1,4 +1,4 @@
-"""Sends contacts and loads of workers to the leader."""
+"""Reports the contacts of this daemon and the task usage of its workers to the leader."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
     from .daemon import Daemon
 
 LOAD_TOPIC = "loads"
-# A watcher is confirmed only up to its last contact that was reported, so reports bound its freshness of 3 s.
-PUSH_S = 0.5
+# A watcher is confirmed only up to its last reported contact, so this interval uses up part of the 3 s for
+# which a confirmation gives authority.
+REPORT_INTERVAL_S = 0.5
 CALL_TIMEOUT_S = 1.0
 
 
-async def push_loads(daemon: Daemon) -> None:
-    """Reports to the leader for as long as the daemon runs."""
+async def report_loads(daemon: Daemon) -> None:
+    """Sends reports to the leader for the lifetime of the daemon."""
     leader = ""
     members = [peer.name for peer in daemon.settings.peers if peer.member]
     attempt = 0
     while True:
         if daemon.group.leads():
-            take_loads(daemon, own_loads(daemon))
+            record_load_report(daemon, build_load_report(daemon))
         else:
             attempt += 1
             known = daemon.member.leader_daemon if daemon.member else leader
-            leader = await _push(daemon, target=known or members[attempt % len(members)])
-        await asyncio.sleep(PUSH_S)
+            leader = await _send_report(daemon, target=known or members[attempt % len(members)])
+        await asyncio.sleep(REPORT_INTERVAL_S)
 
 
-def own_loads(daemon: Daemon) -> dict[str, Any]:
-    """Returns what the leader learns of this daemon.
+def build_load_report(daemon: Daemon) -> dict[str, Any]:
+    """Returns the report of this daemon to the leader.
 
-    A daemon without a log is confirmed by the daemon that it watches, so its watchers' ages travel along.
+    A daemon without a log is confirmed by the daemon that it watches, not by the leader. The report therefore
+    includes the age of the last contact of each watcher.
     """
     now = daemon.group.clock()
     return {
         "daemon": daemon.settings.name,
-        "contacts": {name: now - at for name, at in daemon.calls.contacts.items()},
+        "contacts": {name: now - at for name, at in daemon.peer_calls.contacts.items()},
         "vms": {
             vm: [
                 [
@@ -61,33 +63,33 @@
     }
 
 
-def take_loads(daemon: Daemon, loads: dict[str, Any]) -> dict[str, Any]:
-    """Records the report of a daemon and answers who leads."""
+def record_load_report(daemon: Daemon, report: dict[str, Any]) -> dict[str, Any]:
+    """Records the report of a daemon and returns the name of the leader, empty if unknown."""
     if not daemon.group.leads():
         return {"leader": daemon.member.leader_daemon if daemon.member else ""}
     now = daemon.group.clock()
-    contacts = daemon.calls.contacts
-    contacts[loads["daemon"]] = now
-    for name, age_s in loads["contacts"].items():
+    contacts = daemon.peer_calls.contacts
+    contacts[report["daemon"]] = now
+    for name, age_s in report["contacts"].items():
         contacts[name] = max(contacts.get(name, now - age_s), now - age_s)
-    for vm, rows in loads["vms"].items():
-        daemon.jobs.usage.record(vm=vm, tasks=[_to_usage(row) for row in rows])
+    for vm, rows in report["vms"].items():
+        daemon.jobs.usage_reports.record(vm=vm, tasks=[_to_usage(row) for row in rows])
     return {"leader": daemon.settings.name}
 
 
-async def _push(daemon: Daemon, *, target: str) -> str:
+async def _send_report(daemon: Daemon, *, target: str) -> str:
     if target == daemon.settings.name:
         return ""
-    contacts = dict(daemon.calls.contacts)
+    contacts = dict(daemon.peer_calls.contacts)
     try:
         answer = await daemon.group.peers.client(target).exchange(
-            topic=LOAD_TOPIC, data=to_json(own_loads(daemon)), timeout_s=CALL_TIMEOUT_S
+            topic=LOAD_TOPIC, data=to_json(build_load_report(daemon)), timeout_s=CALL_TIMEOUT_S
         )
     except PeerUnreachableError:
         return ""
     leader = str(from_json(answer)["leader"])
-    if leader == target and daemon.calls.vouched is not None:
-        daemon.calls.vouched |= contacts
+    if leader == target and daemon.peer_calls.reported_contacts is not None:
+        daemon.peer_calls.reported_contacts |= contacts
     return leader
 
 
@@ -97,4 +99,4 @@
     return TaskUsage(job_id=job_id, epoch=epoch, usage=usage, ran_s=ran_s)
 
 
-__all__ = ["LOAD_TOPIC", "own_loads", "push_loads", "take_loads"]
+__all__ = ["LOAD_TOPIC", "build_load_report", "record_load_report", "report_loads"]
--- a/src/hyssopway/daemon/request_path.py
+++ b/src/hyssopway/daemon/request_components.py
@@ -1,4 +1,4 @@
-"""Parts of a daemon that bring requests to endpoints."""
+"""Components of a daemon that forward requests to endpoints."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
     from .control_group import ControlGroup
 
-EXPIRE_S = 0.25
+EXPIRY_INTERVAL_S = 0.25
 
 
-class RequestPath:
+class RequestComponents:
     """Endpoints, slot credits and the gateway of callers.
 
     Attributes:
-        group: Agreed state and ways to the other daemons.
+        group: Replicated state and clients of the other daemons.
         metrics: Latencies and counters of requests.
         registry: Endpoints whose home is this daemon.
         ledger: Slot credits issued by this daemon.
-        homes: Summaries of endpoints at all homes.
-        router: Slot credits held by this daemon and queues of requests.
-        collector: Finds the credits that are still held when an endpoint arrives.
-        session: Client of endpoints.
-        single_use_session: Client of endpoints for requests that must not run twice.
+        homes: Endpoint summaries of all homes.
+        router: Slot credits held by this daemon and request queues.
+        collector: Collects the credits that other daemons still hold when an endpoint registers.
+        session: HTTP client of endpoints; reuses connections.
+        single_use_session: HTTP client with a new connection per request, for requests that must not run twice.
         claims: Claims of non-idempotent requests.
-        gateway: Interface of callers.
+        gateway: HTTP interface for callers.
     """
 
     __slots__ = (
@@ -85,7 +85,7 @@
         self.registry.on_new_endpoint = self.collector.start
 
     def open(self) -> None:
-        """Opens the clients, which need a running loop, and builds the gateway."""
+        """Opens the HTTP clients, which need a running event loop, and builds the gateway."""
         group = self.group
         self.session = open_session(reuse_connections=True)
         self.single_use_session = open_session(reuse_connections=False)
@@ -106,21 +106,21 @@
         )
 
     async def close(self) -> None:
-        """Closes the clients."""
+        """Closes the HTTP clients."""
         await self.session.close()
         await self.single_use_session.close()
 
     async def expire(self) -> None:
-        """Ends leases of endpoints and credits for as long as the daemon runs."""
+        """Expires endpoint leases and credits for the lifetime of the daemon."""
         while True:
             self.registry.remove_expired()
             self.ledger.expire()
-            await asyncio.sleep(EXPIRE_S)
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
 
     def _vm_may_serve(self, name: str) -> bool:
-        # A VM without a worker is not in the agreed state and is not drained by it.
+        # A VM without a worker is not in the replicated state, so it cannot be drained through it.
         vm = self.group.replica.state.tables.vms.get(name)
         return vm is None or vm.state is VmState.READY
 
 
-__all__ = ["RequestPath"]
+__all__ = ["RequestComponents"]
