--- a/tests/daemon/test_reloading.py
+++ b/tests/daemon/test_reloading.py
@@ -30,7 +30,7 @@
     changes = {"operator_token": CHANGED, "log_level": "DEBUG", "max_body_bytes": 2048, "shutdown_s": 1}
     text = yaml.safe_dump(daemon.settings | changes)
     log = await reload(daemon, text, event="settings reloaded")
-    assert "settings max_body_bytes, shutdown_s change only with a restart" in log
+    assert "changed settings max_body_bytes, shutdown_s take effect only after a restart" in log
     assert await read_status(session, f"{daemon.url}/v1/zones", token=CHANGED) == 200
     assert (
         await read_status(session, f"{daemon.url}/v1/zones", token=daemon.settings["operator_token"]) == 403
