--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of the real programs on the platform's protocol, with faults from outside."""
+"""Randomized soak test of the platform programs, run as processes with injected faults."""
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that hand in jobs, send them again, ask for them and cancel them."""
+"""Callers that submit, retry, poll and cancel jobs."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 import aiohttp
 
-from .truth import Job
+from .invariant_checker import Job
 
 if TYPE_CHECKING:
     import random
 
-    from .truth import Truth
+    from .invariant_checker import InvariantChecker
 
 TIMEOUT_S = 3.0
-VISIBLE_S = 3.0
-TRIES = 4
+VISIBILITY_TIMEOUT_S = 3.0
+SEND_ATTEMPTS = 4
 HEADERS = {"Host": "a.example", "Authorization": "Bearer key-1", "X-Hyssopway-Deadline": "3000"}
 
 
 class Callers:
-    """All callers of a run.
+    """Simulates all callers of a soak run.
 
     Attributes:
-        truth: Knows the jobs.
-        rng: Chooses jobs.
-        entries: Addresses of the entries, as callers reach them.
-        session: Connections, which stay open.
-        tasks: Callers at work.
-        acked_at: Local time of the first acknowledgement by job.
-        answers: Number of answers by status; 0 for none.
+        checker: Records the jobs and checks what callers are told.
+        rng: Random source for jobs, entry VMs and delays.
+        entries: Addresses of the entry VMs as ``IP:PORT``, each behind a proxy.
+        session: HTTP session with persistent connections; None until `open`.
+        tasks: Running callers, one for each job.
+        acked_at: Monotonic time in seconds of the first acknowledgement, by job ID.
+        answers: Number of responses by HTTP status; status 0 counts calls without a complete response.
     """
 
-    def __init__(self, *, truth: Truth, rng: random.Random, entries: list[str]) -> None:
-        self.truth = truth
+    def __init__(self, *, checker: InvariantChecker, rng: random.Random, entries: list[str]) -> None:
+        self.checker = checker
         self.rng = rng
         self.entries = entries
         self.session: aiohttp.ClientSession | None = None
@@ -44,46 +44,51 @@
         self.answers: dict[int, int] = {}
 
     async def run(self, *, for_s: float, rate_per_s: float) -> None:
-        """Hands in jobs for some seconds."""
-        until = time.monotonic() + for_s
-        while time.monotonic() < until:
-            task = asyncio.create_task(self._serve_one())
+        """Submits jobs at random intervals.
+
+        Args:
+            for_s: Duration in seconds.
+            rate_per_s: Mean number of jobs per second.
+        """
+        deadline = time.monotonic() + for_s
+        while time.monotonic() < deadline:
+            task = asyncio.create_task(self._run_job())
             self.tasks.add(task)
-            task.add_done_callback(self._note_end)
+            task.add_done_callback(self._on_task_end)
             await asyncio.sleep(self.rng.expovariate(rate_per_s))
 
     async def open(self) -> None:
-        """Prepares connections."""
+        """Opens the HTTP session."""
         self.session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT_S))
 
     async def close(self) -> None:
-        """Ends all callers."""
+        """Cancels all callers and closes the session."""
         for task in list(self.tasks):
             task.cancel()
         if self.session is not None:
             await self.session.close()
 
-    async def ask_state(self, job_id: str) -> str:
-        """Asks for the state of a job; empty without an answer."""
-        status, answer = await self._call("GET", job_id)
-        state: str = answer.get("state", "") if status == 200 else ""
+    async def fetch_state(self, job_id: str) -> str:
+        """Returns the state of a job, or an empty string without a successful response."""
+        status, response_body = await self._call("GET", job_id)
+        state: str = response_body.get("state", "") if status == 200 else ""
         if state:
-            self.truth.take_state(job_id, state)
+            self.checker.check_state(job_id, state)
         acked_at = self.acked_at.get(job_id, float("inf"))
-        if status == 410 and time.monotonic() - acked_at > VISIBLE_S + TIMEOUT_S:
-            self.truth.broken.append(f"LOST: {job_id} is answered 410 after its acknowledgement")
+        if status == 410 and time.monotonic() - acked_at > VISIBILITY_TIMEOUT_S + TIMEOUT_S:
+            self.checker.broken.append(f"LOST: {job_id} returned 410 after its acknowledgement")
         return state
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
+    def _on_task_end(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.truth.broken.append(f"a caller of the soak failed: {task.exception()!r}")
+            self.checker.broken.append(f"a soak caller failed: {task.exception()!r}")
 
-    async def _serve_one(self) -> None:
+    async def _run_job(self) -> None:
         job_id = f"{self.rng.getrandbits(64):016x}"
         steps = tuple(self.rng.choice((1, 1, 2, 4)) for _ in range(self.rng.choice((1, 1, 2, 3))))
         job = Job(steps=steps, duplicates=self.rng.random() < 0.2)
-        self.truth.jobs[job_id] = job
+        self.checker.jobs[job_id] = job
         duration_s = self.rng.choice((0.1, 0.3, 0.8))
         body = {
             "specification": f"{self.rng.choice((250, 500, 1000))} {duration_s}",
@@ -99,7 +104,7 @@
                 for number, count in enumerate(steps)
             ],
         }
-        await self._hand_in(job_id, job=job, body=body)
+        await self._submit(job_id, job=job, body=body)
         if not job.accepted:
             return
         if self.rng.random() < 0.1:
@@ -107,46 +112,47 @@
             await self._cancel(job_id, job=job)
         while job.state not in ("completed", "failed", "cancelled"):
             await asyncio.sleep(self.rng.uniform(0.3, 1.0))
-            await self.ask_state(job_id)
+            await self.fetch_state(job_id)
 
-    async def _hand_in(self, job_id: str, *, job: Job, body: dict[str, Any]) -> None:
-        for _ in range(TRIES):
-            status, _answer = await self._call("POST", job_id, body=body)
+    async def _submit(self, job_id: str, *, job: Job, body: dict[str, Any]) -> None:
+        for _ in range(SEND_ATTEMPTS):
+            status, _body = await self._call("POST", job_id, body=body)
             if status == 200:
                 job.accepted, job.refused = True, False
                 self.acked_at.setdefault(job_id, time.monotonic())
                 if self.rng.random() < 0.1:
-                    await self._call("POST", job_id, body=body)  # a late resend
+                    # A duplicate submission after the acknowledgement.
+                    await self._call("POST", job_id, body=body)
                 return
             if status not in (429, 503):
-                job.refused = False  # it may have been accepted
+                job.refused = False  # the job may have been accepted
             await asyncio.sleep(self.rng.uniform(0.1, 0.5))
 
     async def _cancel(self, job_id: str, *, job: Job) -> None:
-        job.cancel_asked = True
-        for _ in range(TRIES):
-            status, _answer = await self._call("DELETE", job_id)
+        job.cancel_requested = True
+        for _ in range(SEND_ATTEMPTS):
+            status, _body = await self._call("DELETE", job_id)
             if status == 200:
                 job.cancel_acked_at = min(job.cancel_acked_at, time.monotonic())
                 return
             if status == 410:
-                self.truth.broken.append(f"LOST: the cancel of {job_id} is answered 410")
+                self.checker.broken.append(f"LOST: cancelling {job_id} returned 410")
 
     async def _call(
         self, method: str, job_id: str, *, body: dict[str, Any] | None = None
     ) -> tuple[int, dict[str, Any]]:
-        """Returns status and answer; status 0 without a whole answer."""
+        """Returns the HTTP status and body; status 0 without a complete JSON response."""
         if self.session is None:
-            raise RuntimeError("the callers are not open")
+            raise RuntimeError("open() must be called before sending requests")
         url = f"http://{self.rng.choice(self.entries)}/p/{job_id}"
         try:
             async with self.session.request(method, url, json=body, headers=HEADERS) as response:
-                answer = await response.json()
+                response_body = await response.json()
                 status = response.status
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError):
-            status, answer = 0, {}
+            status, response_body = 0, {}
         self.answers[status] = self.answers.get(status, 0) + 1
-        return status, answer
+        return status, response_body
 
 
 __all__ = ["Callers"]
--- /dev/null
+++ b/tests/soak/invariant_checker.py
@@ -0,0 +1,130 @@
+"""Checks the guarantees of the platform against the runs observed on the worker VMs."""
+
+from __future__ import annotations
+
+import time
+from collections import Counter
+from dataclasses import dataclass, field
+
+
+@dataclass(slots=True, kw_only=True)
+class Job:
+    """A job as known to its caller.
+
+    Attributes:
+        steps: Number of tasks of each step; a step starts after the previous one.
+        duplicates: Whether duplicate runs of a task are allowed.
+        accepted: Whether a submission was acknowledged.
+        refused: Whether every response so far refused the job.
+        cancel_acked_at: Monotonic time in seconds of the first acknowledged cancellation.
+        cancel_requested: Whether a cancellation was sent.
+        state: State that the caller was told last.
+    """
+
+    steps: tuple[int, ...]
+    duplicates: bool
+    accepted: bool = False
+    refused: bool = True
+    cancel_acked_at: float = float("inf")
+    cancel_requested: bool = False
+    state: str = ""
+
+
+@dataclass(slots=True, kw_only=True)
+class InvariantChecker:
+    """Records starts and ends of runs, and every violation of a guarantee.
+
+    Attributes:
+        max_attempts: Failures after which a job fails.
+        cancel_s: Seconds after an acknowledged cancellation in which runs may still start.
+        jobs: Jobs by ID.
+        running: VM of each active run, by task and run number.
+        done: Tasks that completed.
+        failures: Number of failed runs by task.
+        highest_run: Highest run number by task.
+        broken: Violations, each prefixed with the name of the guarantee.
+        starts: Number of started runs.
+    """
+
+    max_attempts: int
+    cancel_s: float = 4.0
+    jobs: dict[str, Job] = field(default_factory=dict)
+    running: dict[str, dict[int, str]] = field(default_factory=dict)
+    done: set[str] = field(default_factory=set)
+    failures: Counter[str] = field(default_factory=Counter)
+    highest_run: dict[str, int] = field(default_factory=dict)
+    broken: list[str] = field(default_factory=list)
+    starts: int = 0
+
+    def record_start(self, *, task: str, run: int, vm: str, is_late: bool) -> None:
+        """Records the start of a run on a VM.
+
+        Args:
+            task: Name of the task.
+            run: Number of the run.
+            vm: The VM.
+            is_late: Whether the VM delayed the call; time bounds do not apply to delayed calls.
+        """
+        self.starts += 1
+        job_id, _, step, _ = task.split(".")
+        job = self.jobs.get(job_id)
+        if job is None:
+            self.broken.append(f"UNASKED: {task} of a job that was never submitted")
+            return
+        others = self.running.setdefault(task, {})
+        if others and not job.duplicates:
+            self.broken.append(f"TWICE: run {run} of {task} starts on {vm} while {others} are active")
+        if run in others or (run <= self.highest_run.get(task, 0) and not is_late):
+            self.broken.append(
+                f"TWICE: run {run} of {task} starts again, run {self.highest_run[task]} was seen before"
+            )
+        if self.failures[task] >= self.max_attempts:
+            self.broken.append(f"BUDGET: {task} starts after {self.failures[task]} failures")
+        if int(step) and not self._is_step_done(job_id, step=int(step) - 1):
+            self.broken.append(f"ORDER: {task} starts before step {int(step) - 1} is done")
+        if not is_late and time.monotonic() - job.cancel_acked_at > self.cancel_s:
+            self.broken.append(f"UNASKED: {task} starts long after its cancellation")
+        self.highest_run[task] = max(run, self.highest_run.get(task, 0))
+        others[run] = vm
+
+    def record_end(self, *, task: str, run: int, outcome: str) -> None:
+        """Records the end of a run."""
+        self.running.get(task, {}).pop(run, None)
+        if outcome == "done":
+            self.done.add(task)
+        if outcome == "failed":
+            self.failures[task] += 1
+
+    def check_state(self, job_id: str, state: str) -> None:
+        """Records and checks a job state that a caller was told."""
+        job = self.jobs[job_id]
+        job.state = state
+        if state == "completed" and not all(
+            self._is_step_done(job_id, step=step) for step in range(len(job.steps))
+        ):
+            self.broken.append(f"LOST: {job_id} is reported as completed, but not all of its tasks completed")
+        if state == "cancelled" and not job.cancel_requested:
+            self.broken.append(f"LOST: {job_id} is reported as cancelled without a cancellation")
+        is_exhausted = any(
+            count >= self.max_attempts
+            for task, count in self.failures.items()
+            if task.split(".", maxsplit=1)[0] == job_id
+        )
+        if state == "failed" and not is_exhausted:
+            self.broken.append(f"LOST: {job_id} is reported as failed without an exhausted task")
+
+    def check_refused_jobs(self) -> None:
+        """Checks that no refused job ran."""
+        started = {task.split(".", maxsplit=1)[0] for task in self.highest_run}
+        self.broken += [
+            f"UNASKED: {job_id} ran although every response refused it"
+            for job_id, job in self.jobs.items()
+            if job.refused and not job.accepted and job_id in started
+        ]
+
+    def _is_step_done(self, job_id: str, *, step: int) -> bool:
+        count = self.jobs[job_id].steps[step]
+        return all(f"{job_id}.0.{step}.{index}" in self.done for index in range(count))
+
+
+__all__ = ["InvariantChecker", "Job"]
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Control and entry programs as separate processes."""
+"""Runs the control and entry programs as separate processes."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 import tomli_w
 
-REPOSITORY = Path(__file__).parents[2]
+REPOSITORY_ROOT = Path(__file__).parents[2]
 ZONES = {"nashua": "north", "worcester": "north"}
-STOP_S = 12.0
+STOP_TIMEOUT_S = 12.0
 
 
 def find_free_port(host: str) -> int:
-    """Returns a port that nobody uses on a loopback address."""
+    """Returns an unused TCP port on a loopback address."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         port: int = probe.getsockname()[1]
@@ -26,16 +26,16 @@
 
 
 class Node:
-    """One program on its own loopback address.
+    """A control or entry process on its own loopback address.
 
     Attributes:
         name: Name of the machine.
         role: `entry` or `control`.
         host: Loopback address.
-        folder: Settings, data and output.
-        http: Address of callers or operators as ``IP:PORT``.
-        process: The process; None while it is stopped.
-        is_frozen: Whether it was stopped by a signal.
+        folder: Directory of settings, data and output.
+        http_address: Address for callers or operators as ``IP:PORT``.
+        process: The process; None while it does not run.
+        is_suspended: Whether the process is suspended by SIGSTOP.
     """
 
     def __init__(self, *, name: str, role: str, host: str, folder: Path) -> None:
@@ -43,14 +43,16 @@
         self.role = role
         self.host = host
         self.folder = folder
-        self.http = f"{host}:{find_free_port(host)}"
+        self.http_address = f"{host}:{find_free_port(host)}"
         self.process: subprocess.Popen[bytes] | None = None
-        self.is_frozen = False
+        self.is_suspended = False
         folder.mkdir(parents=True)
 
-    def write_settings(self, *, seeds: list[str], peer_port: int, machines: str, bootstrap: bool) -> None:
-        """Writes the settings file of the platform."""
-        listen = {"front": self.http, "readiness": f"{self.host}:{find_free_port(self.host)}"}
+    def write_settings(
+        self, *, seeds: list[str], peer_port: int, machine_api_address: str, bootstrap: bool
+    ) -> None:
+        """Writes the settings file that the platform reads at start."""
+        listen = {"front": self.http_address, "readiness": f"{self.host}:{find_free_port(self.host)}"}
         settings = {
             "node_name": self.name,
             "ip_address": self.host,
@@ -60,10 +62,10 @@
             "bootstrap": bootstrap,
             "data_directory": str(self.folder / "data"),
             "zones": ZONES,
-            "listen_addresses": listen if self.role == "entry" else {"control": self.http},
+            "listen_addresses": listen if self.role == "entry" else {"control": self.http_address},
             "bounds": {"stop_timeout_ms": 400, "grace_period_s": 6.0},
             "fault_tolerance": {"machines": 1},
-            "cloud_api": {"address": machines},
+            "cloud_api": {"address": machine_api_address},
         }
         (self.folder / "settings.toml").write_text(tomli_w.dumps(settings))
 
@@ -73,7 +75,7 @@
         output = (self.folder / "output.jsonl").open("ab")
         environment = os.environ | {"HYSSOPWAY_BOOT": str(self.folder / "settings.toml")}
         self.process = subprocess.Popen(
-            [sys.executable, str(REPOSITORY / "platform" / "run.py"), self.role],
+            [sys.executable, str(REPOSITORY_ROOT / "platform" / "run.py"), self.role],
             stdout=output,
             stderr=subprocess.STDOUT,
             env=environment,
@@ -81,39 +83,39 @@
         output.close()
 
     def kill(self) -> None:
-        """Ends the process at once."""
+        """Kills the process and waits for its exit."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
-        self.process, self.is_frozen = None, False
+        self.process, self.is_suspended = None, False
 
-    def freeze(self) -> None:
-        """Stops the process until `thaw`."""
+    def suspend(self) -> None:
+        """Suspends the process with SIGSTOP until `resume`."""
         if self.process is not None:
             self.process.send_signal(signal.SIGSTOP)
-            self.is_frozen = True
+            self.is_suspended = True
 
-    def thaw(self) -> None:
-        """Lets the process go on."""
-        if self.process is not None and self.is_frozen:
+    def resume(self) -> None:
+        """Resumes a suspended process."""
+        if self.process is not None and self.is_suspended:
             self.process.send_signal(signal.SIGCONT)
-        self.is_frozen = False
+        self.is_suspended = False
 
     def terminate(self) -> None:
-        """Asks the process to stop."""
+        """Sends SIGTERM to the process."""
         if self.process is not None:
             self.process.terminate()
 
     def wait(self) -> int:
-        """Waits for the end of a process that was asked to stop, and returns its status."""
+        """Waits until a terminated process exits and returns its exit status."""
         if self.process is None:
             return 0
-        status = self.process.wait(timeout=STOP_S)
+        status = self.process.wait(timeout=STOP_TIMEOUT_S)
         self.process = None
         return status
 
     def wipe(self) -> None:
-        """Loses the disk of a process that has ended."""
+        """Deletes the data directory of a stopped process, as when its disk is lost."""
         shutil.rmtree(self.folder / "data")
 
 
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or cuts connections one way."""
+"""A loopback TCP proxy that delays, resets or drops traffic, also in one direction only."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 CHUNK_BYTES = 65_536
 
 
-class Trouble(StrEnum):
-    """What happens to bytes on their way."""
+class NetworkFault(StrEnum):
+    """Fault that a proxy applies to its connections."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
     SILENCE = "silence"
     NO_REQUESTS = "no requests"
-    NO_ANSWERS = "no answers"
+    NO_RESPONSES = "no responses"
 
 
 class Proxy:
     """Forwards connections to one address.
 
     Attributes:
-        target: Host and port of the process behind.
-        trouble: Present trouble, for open connections as well.
-        delay_s: Delay of each chunk while the trouble is a delay.
-        address: Own address as ``IP:PORT``.
+        target: Host and port to which connections are forwarded.
+        fault: Current fault; it also applies to open connections.
+        delay_s: Delay of each chunk in seconds while the fault is DELAY.
+        address: Listen address as ``IP:PORT``.
     """
 
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
-        self.trouble = Trouble.NONE
+        self.fault = NetworkFault.NONE
         self.delay_s = 0.0
         self.address = ""
         self.server: asyncio.Server | None = None
@@ -45,15 +45,15 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Closes everything."""
+        """Stops listening and aborts all connections."""
         if self.server is not None:
             self.server.close()
         self._reset_all()
 
-    def set(self, trouble: Trouble, *, delay_s: float = 0.0) -> None:
-        """Changes the trouble; a reset ends open connections at once."""
-        self.trouble, self.delay_s = trouble, delay_s
-        if trouble is Trouble.RESET:
+    def set(self, fault: NetworkFault, *, delay_s: float = 0.0) -> None:
+        """Sets the current fault; RESET aborts open connections immediately."""
+        self.fault, self.delay_s = fault, delay_s
+        if fault is NetworkFault.RESET:
             self._reset_all()
 
     def _reset_all(self) -> None:
@@ -65,38 +65,38 @@
         try:
             await self._forward(reader, writer)
         except asyncio.CancelledError:
-            pass  # the streams of this Python report a cancelled handler as an error
+            pass  # asyncio streams of this Python version report a cancelled handler as an error
         finally:
             self.writers.discard(writer)
             writer.transport.abort()
 
     async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.trouble is Trouble.RESET:
+        if self.fault is NetworkFault.RESET:
             return
         with contextlib.suppress(OSError):
-            behind_reader, behind_writer = await asyncio.open_connection(*self.target)
-            self.writers.add(behind_writer)
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self.writers.add(target_writer)
             try:
                 await asyncio.gather(
-                    self._copy(reader, behind_writer, held=Trouble.NO_REQUESTS),
-                    self._copy(behind_reader, writer, held=Trouble.NO_ANSWERS),
+                    self._copy(reader, target_writer, dropping_fault=NetworkFault.NO_REQUESTS),
+                    self._copy(target_reader, writer, dropping_fault=NetworkFault.NO_RESPONSES),
                 )
             finally:
-                self.writers.discard(behind_writer)
-                behind_writer.transport.abort()
+                self.writers.discard(target_writer)
+                target_writer.transport.abort()
 
     async def _copy(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, held: Trouble
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, dropping_fault: NetworkFault
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                if self.trouble is Trouble.DELAY:
+                if self.fault is NetworkFault.DELAY:
                     await asyncio.sleep(self.delay_s)
-                if self.trouble in (Trouble.SILENCE, held):
-                    continue  # lost: the connection stays open and nobody hears of it
+                if self.fault in (NetworkFault.SILENCE, dropping_fault):
+                    continue  # drops the data while the connection stays open, as in a silent partition
                 writer.write(data)
                 await writer.drain()
         writer.close()
 
 
-__all__ = ["Proxy", "Trouble"]
+__all__ = ["NetworkFault", "Proxy"]
--- /dev/null
+++ b/tests/soak/soak_run.py
@@ -0,0 +1,233 @@
+"""A single seeded run of the soak test."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import random
+import time
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+import aiohttp
+
+from .callers import Callers
+from .fault_injector import FaultInjector
+from .invariant_checker import InvariantChecker
+from .machine_api import MachineApi
+from .nodes import Node, find_free_port
+from .proxy import Proxy
+from .worker_vm import WorkerVm
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+CONTROL_NODES, ENTRY_NODES, WORKER_VMS = 4, 2, 5
+MAX_ATTEMPTS = 3
+RATE_PER_S = 6.0
+READY_TIMEOUT_S = 20.0
+# Every accepted job must reach a final state within this time after the last fault.
+SETTLE_TIMEOUT_S = 25.0
+FINAL_STATES = ("completed", "failed", "cancelled")
+CONFIG = {
+    "version": 1,
+    "routes": [
+        {
+            "name": "plans",
+            "host": "a.example",
+            "path_prefix": "/p/",
+            "timeout_ms": 3000,
+            "service": "vans",
+            "max_attempts": MAX_ATTEMPTS,
+            "target_latency_ms": 500,
+            "stretch": 2.0,
+        }
+    ],
+    "services": [{"name": "vans"}],
+    "tenants": [{"name": "one", "api_keys": ["key-1"]}],
+}
+
+
+@dataclass(slots=True, kw_only=True)
+class SoakReport:
+    """Result of a soak run.
+
+    Attributes:
+        seed: Seed of the run.
+        broken: Violated guarantees.
+        jobs: Number of submitted jobs.
+        accepted: Number of accepted jobs.
+        starts: Number of runs that started on worker VMs.
+        answers: Number of responses by HTTP status.
+        faults: Log of the injected faults.
+    """
+
+    seed: int
+    broken: list[str]
+    jobs: int = 0
+    accepted: int = 0
+    starts: int = 0
+    answers: dict[int, int] = field(default_factory=dict)
+    faults: list[str] = field(default_factory=list)
+
+    def describe(self) -> str:
+        """Returns a one-line summary."""
+        outcome = "; ".join(self.broken[:3]) or "no guarantee violated"
+        return (
+            f"seed {self.seed}: {self.jobs} jobs, {self.accepted} accepted, {self.starts} starts, "
+            f"{len(self.faults)} faults, answers {dict(sorted(self.answers.items()))}: {outcome}"
+        )
+
+
+class SoakRun:
+    """Starts the processes, worker VMs and callers of a run and checks the guarantees.
+
+    Attributes:
+        seed: Seed of jobs, faults and the behaviour of worker VMs; the timing of processes is not reproduced.
+        folder: Directory of settings, data and output of all processes.
+    """
+
+    def __init__(self, *, seed: int, folder: Path) -> None:
+        self.seed = seed
+        self.folder = folder
+        self.checker = InvariantChecker(max_attempts=MAX_ATTEMPTS)
+        self.machine_api = MachineApi()
+        # Each run uses its own loopback addresses, so that concurrent runs do not conflict.
+        subnet = 10 + seed % 200
+        self.controls = [
+            self._create_node("control", subnet=subnet, number=number) for number in range(CONTROL_NODES)
+        ]
+        self.entries = [
+            self._create_node("entry", subnet=subnet, number=50 + number) for number in range(ENTRY_NODES)
+        ]
+        self.peer_port = find_free_port(self.controls[0].host)
+        self.workers: list[WorkerVm] = []
+        self.proxies: list[Proxy] = []
+        self.callers: Callers | None = None
+
+    async def run(self, *, for_s: float) -> SoakReport:
+        """Injects faults, ends all of them, waits for the jobs and checks the guarantees.
+
+        Args:
+            for_s: Duration of fault injection in seconds.
+        """
+        try:
+            await self._start()
+            injector = FaultInjector(
+                rng=random.Random(f"{self.seed} faults"),
+                controls=self.controls,
+                entries=self.entries,
+                proxies=self.proxies,
+                workers=self.workers,
+                configure=lambda node: self._configure(node, bootstrap=False),
+                log_file=self.folder / "faults.log",
+            )
+            callers = self.callers
+            if callers is None:
+                raise RuntimeError("the soak run has no callers")
+            await asyncio.gather(injector.run(for_s=for_s), callers.run(for_s=for_s, rate_per_s=RATE_PER_S))
+            await self._wait_for_jobs(callers)
+            self.checker.check_refused_jobs()
+            return SoakReport(
+                seed=self.seed,
+                broken=list(self.checker.broken),
+                jobs=len(self.checker.jobs),
+                accepted=sum(job.accepted for job in self.checker.jobs.values()),
+                starts=self.checker.starts,
+                answers=callers.answers,
+                faults=injector.log,
+            )
+        finally:
+            await self._stop()
+
+    def _create_node(self, role: str, *, subnet: int, number: int) -> Node:
+        name = f"{role}-{number}"
+        return Node(name=name, role=role, host=f"127.0.{subnet}.{number + 1}", folder=self.folder / name)
+
+    def _configure(self, node: Node, *, bootstrap: bool) -> None:
+        seeds = [control.http_address for control in self.controls[:3]]
+        node.write_settings(
+            seeds=seeds,
+            peer_port=self.peer_port,
+            machine_api_address=self.machine_api.address,
+            bootstrap=bootstrap,
+        )
+
+    async def _start(self) -> None:
+        await self.machine_api.start()
+        for node in (*self.controls, *self.entries):
+            self._configure(node, bootstrap=node.role == "control")
+            node.start()
+        await self._put_config()
+        for number in range(WORKER_VMS):
+            worker = WorkerVm(
+                name=f"m{number}",
+                checker=self.checker,
+                rng=random.Random(f"{self.seed} worker {number}"),
+                control=[one.http_address for one in self.controls],
+            )
+            await worker.start()
+            proxy = await self._start_proxy(worker.address)
+            worker.announced_address = proxy.address
+            self.workers.append(worker)
+        entries = [(await self._start_proxy(entry.http_address)).address for entry in self.entries]
+        rng = random.Random(f"{self.seed} callers")
+        self.callers = Callers(checker=self.checker, rng=rng, entries=entries)
+        await self.callers.open()
+        await asyncio.sleep(1.0)
+
+    async def _start_proxy(self, address: str) -> Proxy:
+        host, _, port = address.rpartition(":")
+        proxy = Proxy(target=(host, int(port)))
+        await proxy.start()
+        self.proxies.append(proxy)
+        return proxy
+
+    async def _put_config(self) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=3.0)) as session:
+            while time.monotonic() < deadline:
+                try:
+                    url = f"http://{self.controls[0].http_address}/hyssopway/config"
+                    async with session.put(url, data=json.dumps(CONFIG)) as response:
+                        if response.status == 200:
+                            return
+                except (aiohttp.ClientError, TimeoutError, OSError):
+                    pass
+                await asyncio.sleep(0.1)
+        self.checker.broken.append(
+            f"the configuration was not accepted within {READY_TIMEOUT_S:.0f} s of the start"
+        )
+
+    async def _wait_for_jobs(self, callers: Callers) -> None:
+        deadline = time.monotonic() + SETTLE_TIMEOUT_S
+        unfinished = self._list_unfinished_jobs()
+        while unfinished and time.monotonic() < deadline:
+            await asyncio.sleep(0.5)
+            for job_id in unfinished:
+                await callers.fetch_state(job_id)
+            unfinished = self._list_unfinished_jobs()
+        self.checker.broken += [
+            f"LOST: {job_id} is {self.checker.jobs[job_id].state or 'unknown'} {SETTLE_TIMEOUT_S:.0f} s after the last fault"
+            for job_id in unfinished
+        ]
+
+    def _list_unfinished_jobs(self) -> list[str]:
+        return [
+            key for key, job in self.checker.jobs.items() if job.accepted and job.state not in FINAL_STATES
+        ]
+
+    async def _stop(self) -> None:
+        if self.callers is not None:
+            await self.callers.close()
+        for worker in self.workers:
+            await worker.stop()
+        for proxy in self.proxies:
+            await proxy.stop()
+        for node in (*self.controls, *self.entries):
+            node.resume()
+            node.kill()
+        await self.machine_api.stop()
+
+
+__all__ = ["SoakReport", "SoakRun"]
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded run of the soak, and every seed that ever failed."""
+"""Runs the soak test briefly, and longer with fixed seeds and all seeds that failed before."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 import pytest
 
-from .soak import Soak
-from .truth import Job, Truth
+from .invariant_checker import InvariantChecker, Job
+from .soak_run import SoakRun
 
-SEEDS = Path(__file__).with_name("seeds.txt")
+SEEDS_FILE = Path(__file__).with_name("seeds.txt")
 
 
 def read_failed_seeds():
-    lines = SEEDS.read_text().splitlines()
+    lines = SEEDS_FILE.read_text().splitlines()
     return [int(line.split()[0]) for line in lines if line and not line.startswith("#")]
 
 
-async def test_promises_hold_under_faults_from_outside(tmp_path):
-    """Guards against faults of the real programs that tests without processes do not show."""
-    report = await Soak(seed=1, folder=tmp_path).run(for_s=8.0)
+async def test_guarantees_hold_under_injected_faults(tmp_path):
+    """Guards against defects of the platform programs that only show when they run as processes."""
+    report = await SoakRun(seed=1, folder=tmp_path).run(for_s=8.0)
     assert report.broken == [], report.describe()
     assert report.accepted > 10
     assert report.starts > report.accepted
@@ -27,35 +27,38 @@
 
 @pytest.mark.faults
 @pytest.mark.parametrize("seed", [2, 3, 4, *read_failed_seeds()])
-async def test_promises_hold_in_longer_runs(tmp_path, seed):
-    """Guards against faults that need series, and against those that a seed has shown before."""
-    report = await Soak(seed=seed, folder=tmp_path).run(for_s=20.0)
+async def test_guarantees_hold_in_longer_runs(tmp_path, seed):
+    """Guards against defects that need a series of faults, and against regressions of failed seeds."""
+    report = await SoakRun(seed=seed, folder=tmp_path).run(for_s=20.0)
     assert report.broken == [], report.describe()
 
 
-def start(truth, task, run, *, vm="m0-1", is_late=False):
-    truth.start(task=task, run=run, vm=vm, is_late=is_late)
+def record_start(checker, task, run, *, vm="m0-1", is_late=False):
+    checker.record_start(task=task, run=run, vm=vm, is_late=is_late)
 
 
 @pytest.mark.parametrize(
-    ("play", "promise"),
+    ("record_events", "guarantee"),
     [
-        (lambda truth: (start(truth, "a.0.0.0", 1), start(truth, "a.0.0.0", 2)), "TWICE"),
+        (lambda checker: (record_start(checker, "a.0.0.0", 1), record_start(checker, "a.0.0.0", 2)), "TWICE"),
         (
-            lambda truth: (
-                start(truth, "a.0.0.0", 1),
-                truth.end(task="a.0.0.0", run=1, how="done"),
-                start(truth, "a.0.0.0", 1),
+            lambda checker: (
+                record_start(checker, "a.0.0.0", 1),
+                checker.record_end(task="a.0.0.0", run=1, outcome="done"),
+                record_start(checker, "a.0.0.0", 1),
             ),
             "TWICE",
         ),
-        (lambda truth: start(truth, "a.0.1.0", 1), "ORDER"),
-        (lambda truth: start(truth, "b.0.0.0", 1), "UNASKED"),
-        (lambda truth: (truth.failures.update({"a.0.0.0": 3}), start(truth, "a.0.0.0", 4)), "BUDGET"),
-        (lambda truth: truth.take_state("a", "completed"), "LOST"),
-        (lambda truth: truth.take_state("a", "failed"), "LOST"),
-        (lambda truth: truth.take_state("a", "cancelled"), "LOST"),
-        (lambda truth: (start(truth, "a.0.0.0", 1), truth.check_refused()), "UNASKED"),
+        (lambda checker: record_start(checker, "a.0.1.0", 1), "ORDER"),
+        (lambda checker: record_start(checker, "b.0.0.0", 1), "UNASKED"),
+        (
+            lambda checker: (checker.failures.update({"a.0.0.0": 3}), record_start(checker, "a.0.0.0", 4)),
+            "BUDGET",
+        ),
+        (lambda checker: checker.check_state("a", "completed"), "LOST"),
+        (lambda checker: checker.check_state("a", "failed"), "LOST"),
+        (lambda checker: checker.check_state("a", "cancelled"), "LOST"),
+        (lambda checker: (record_start(checker, "a.0.0.0", 1), checker.check_refused_jobs()), "UNASKED"),
     ],
     ids=[
         "copy",
@@ -69,9 +72,9 @@
         "refused",
     ],
 )
-def test_truth_finds_each_broken_promise(play, promise):
-    """Guards against a soak that is green because it sees nothing."""
-    truth = Truth(max_attempts=3)
-    truth.jobs["a"] = Job(steps=(1, 1), duplicates=False)
-    play(truth)
-    assert [text.split(":")[0] for text in truth.broken] == [promise]
+def test_checker_detects_each_violation(record_events, guarantee):
+    """Guards against a soak test that passes because its checker detects no violation."""
+    checker = InvariantChecker(max_attempts=3)
+    checker.jobs["a"] = Job(steps=(1, 1), duplicates=False)
+    record_events(checker)
+    assert [text.split(":")[0] for text in checker.broken] == [guarantee]
--- a/tests/soak/worker_vm.py
+++ b/tests/soak/worker_vm.py
@@ -1,4 +1,4 @@
-"""A worker VM that speaks the platform's protocol and may lose answers, act late or end."""
+"""A simulated worker VM on the platform's protocol that can drop responses, delay calls or crash."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     import random
     from collections.abc import Coroutine
 
-    from .truth import Truth
+    from .invariant_checker import InvariantChecker
 
-MAX_HOLD_MS = 10_000
+MAX_LEASE_MS = 10_000
 HEARTBEAT_S = 0.4
 CAPACITY = {"cpu": 8000, "memory_request_mb": 16_000}
 
 
 @dataclass(slots=True, kw_only=True)
-class Running:
-    """A run that works.
+class ActiveRun:
+    """A run in progress.
 
     Attributes:
-        cpu_millis: Thousandths of a core that it uses.
-        timer: Ends it.
+        cpu_millis: CPU usage in millicores.
+        timer: Timer that ends the run.
     """
 
     cpu_millis: int
@@ -36,38 +36,40 @@
 
 
 class WorkerVm:
-    """One machine with one VM after another.
+    """A machine that hosts one VM at a time; each boot is a new VM.
 
     Attributes:
         name: Name of the machine.
-        truth: Gets every start and end.
-        rng: Chooses durations, failures and troubles.
-        control: Control addresses to report to.
-        lose_answers: Share of orders that are carried out without an answer.
-        late_orders: Share of orders that are carried out seconds later, without an answer.
-        fail_share: Share of runs that fail.
-        clock_rate: Speed of the own clock; leases are counted by it.
-        boot: Number of the present boot.
+        checker: Receives every start and end of a run.
+        rng: Random source for durations, failures and faults.
+        control: Addresses of the control nodes to report to.
+        lost_response_share: Share of calls that are executed but whose response is dropped.
+        delayed_call_share: Share of calls that are executed up to 3 s late and whose response is dropped.
+        failure_share: Share of runs that fail.
+        clock_rate: Rate of the VM's clock relative to real time; leases expire by this clock.
+        boot: Number of the current boot.
     """
 
-    def __init__(self, *, name: str, truth: Truth, rng: random.Random, control: list[str]) -> None:
+    def __init__(
+        self, *, name: str, checker: InvariantChecker, rng: random.Random, control: list[str]
+    ) -> None:
         self.name = name
-        self.truth = truth
+        self.checker = checker
         self.rng = rng
         self.control = control
-        self.lose_answers = 0.0
-        self.late_orders = 0.0
-        self.fail_share = 0.02
+        self.lost_response_share = 0.0
+        self.delayed_call_share = 0.0
+        self.failure_share = 0.02
         self.clock_rate = rng.uniform(0.98, 1.0)
         self.boot = 0
         self.sequence = 0
-        self.fence = 0
-        self.lease_ms = 0.0
-        self.running: dict[tuple[str, int], Running] = {}
-        self.rejected: dict[str, int] = {}
+        self.fencing_token = 0
+        self.lease_expiry_ms = 0.0
+        self.running: dict[tuple[str, int], ActiveRun] = {}
+        self.highest_ended_run: dict[str, int] = {}
         self.finished: list[list[Any]] = []
-        self.ended = 0
-        self.changed = asyncio.Event()
+        self.ended_count = 0
+        self.change_event = asyncio.Event()
         self.address = ""
         self.announced_address = ""
         self.runner: web.AppRunner | None = None
@@ -75,29 +77,29 @@
 
     @property
     def vm_id(self) -> str:
-        """Identity of the present boot."""
+        """ID of the VM of the current boot."""
         return f"{self.name}-{self.boot}"
 
     @property
     def clock_ms(self) -> int:
-        """The own steady clock."""
+        """The VM's monotonic clock in milliseconds."""
         return int(time.monotonic() * 1000 * self.clock_rate)
 
     async def start(self) -> None:
-        """Listens; reports begin with `report_until_cancelled`."""
+        """Starts the HTTP server, the reports and the lease monitor."""
         app = web.Application()
-        app.router.add_post("/hyssopway/{call}", self._answer)
+        app.router.add_post("/hyssopway/{call}", self._handle_call)
         self.runner = web.AppRunner(app, access_log=None)
         await self.runner.setup()
         await web.TCPSite(self.runner, "127.0.0.1", 0).start()
         host, port = self.runner.addresses[0][:2]
         self.address = self.announced_address = f"{host}:{port}"
-        self._begin_boot()
-        self._spawn(self._report())
-        self._spawn(self._watch_lease())
+        self._start_boot()
+        self._spawn(self._send_reports())
+        self._spawn(self._enforce_lease())
 
     async def stop(self) -> None:
-        """Ends all of it."""
+        """Stops all background tasks, runs and the HTTP server."""
         for task in list(self.tasks):
             task.cancel()
         for running in self.running.values():
@@ -106,26 +108,26 @@
             await self.runner.cleanup()
 
     def crash(self) -> None:
-        """Ends everything; the next boot has another identity and has seen no fencing token."""
+        """Ends all runs and boots a VM with a new ID that has seen no fencing token."""
         for task, run in list(self.running):
             self.running.pop((task, run)).timer.cancel()
-            self.truth.end(task=task, run=run, how="crashed")
-        self._begin_boot()
+            self.checker.record_end(task=task, run=run, outcome="crashed")
+        self._start_boot()
 
-    def _begin_boot(self) -> None:
+    def _start_boot(self) -> None:
         self.boot += 1
-        self.sequence = self.fence = self.ended = 0
-        self.born = int(time.time() * 1000)
-        self.lease_ms = 0.0
-        self.rejected, self.finished = {}, []
-        self.changed.set()
-
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+        self.sequence = self.fencing_token = self.ended_count = 0
+        self.boot_time_ms = int(time.time() * 1000)
+        self.lease_expiry_ms = 0.0
+        self.highest_ended_run, self.finished = {}, []
+        self.change_event.set()
+
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _report(self) -> None:
+    async def _send_reports(self) -> None:
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0)) as session:
             while True:
                 self.sequence += 1
@@ -137,7 +139,7 @@
                     "capacity": CAPACITY,
                     "labels": ["a", "r1"],
                     "call_sequence": self.sequence,
-                    "born": self.born,
+                    "born": self.boot_time_ms,
                 }
                 address = self.rng.choice(self.control)
                 with contextlib.suppress(aiohttp.ClientError, TimeoutError):
@@ -146,102 +148,104 @@
                         pass
                 await asyncio.sleep(HEARTBEAT_S)
 
-    async def _watch_lease(self) -> None:
+    async def _enforce_lease(self) -> None:
         while True:
             await asyncio.sleep(0.02)
-            if self.running and self.clock_ms > self.lease_ms:
+            if self.running and self.clock_ms > self.lease_expiry_ms:
                 for task, run in list(self.running):
-                    self._finish(task, run=run, how="lapsed")
+                    self._end_run(task, run=run, outcome="lapsed")
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _handle_call(self, request: web.Request) -> web.Response:
         if request.headers.get("X-Hyssopway-Expected-Instance") != self.vm_id:
             return web.json_response({"clock_ms": self.clock_ms}, status=421)
         call = request.match_info["call"]
         body = await request.json()
         boot = self.boot
-        if call != "hold" and self.rng.random() < self.late_orders:
+        if call != "hold" and self.rng.random() < self.delayed_call_share:
             await asyncio.sleep(self.rng.uniform(0.3, 3.0))
             if boot == self.boot:
-                self._carry_out(call, body=body, is_late=True)
-            return _lose_answer(request)
+                self._execute(call, body=body, is_late=True)
+            return _drop_response(request)
         if call == "hold":
-            return await self._hold(body)
-        answer = self._carry_out(call, body=body, is_late=False)
-        return _lose_answer(request) if self.rng.random() < self.lose_answers else answer
+            return await self._handle_poll(body)
+        response = self._execute(call, body=body, is_late=False)
+        return _drop_response(request) if self.rng.random() < self.lost_response_share else response
 
-    async def _hold(self, body: dict[str, Any]) -> web.Response:
-        if body["fencing_token"] < self.fence:
+    async def _handle_poll(self, body: dict[str, Any]) -> web.Response:
+        if body["fencing_token"] < self.fencing_token:
             return web.json_response({"reason": "fence", "clock_ms": self.clock_ms}, status=409)
-        self.fence = body["fencing_token"]
-        self._extend(body.get("deadline_ms"))
-        self.finished = [row for row in self.finished if row[0] > body["last_seen"]]
+        self.fencing_token = body["fencing_token"]
+        self._renew_lease(body.get("deadline_ms"))
+        self.finished = [
+            finished_run for finished_run in self.finished if finished_run[0] > body["last_seen"]
+        ]
         if not self.finished and body.get("wait_ms"):
-            self.changed.clear()
+            self.change_event.clear()
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(body["wait_ms"] / 1000):
-                    await self.changed.wait()
-        rows = [[task, run, "", 50, 0] for task, run in self.running]
-        answer = {"running": rows, "finished": self.finished[:500], "born": self.born}
-        return web.json_response(answer | {"clock_ms": self.clock_ms})
+                    await self.change_event.wait()
+        listed_runs = [[task, run, "", 50, 0] for task, run in self.running]
+        response = {"running": listed_runs, "finished": self.finished[:500], "born": self.boot_time_ms}
+        return web.json_response(response | {"clock_ms": self.clock_ms})
 
-    def _carry_out(self, call: str, *, body: dict[str, Any], is_late: bool) -> web.Response:
+    def _execute(self, call: str, *, body: dict[str, Any], is_late: bool) -> web.Response:
         task, run = body["task"], body["run"]
-        if body["fencing_token"] < self.fence:
+        if body["fencing_token"] < self.fencing_token:
             return self._refuse("fence")
-        self.fence = body["fencing_token"]
+        self.fencing_token = body["fencing_token"]
         if call == "run-stop":
-            self.rejected[task] = max(run, self.rejected.get(task, 0))
+            self.highest_ended_run[task] = max(run, self.highest_ended_run.get(task, 0))
             if (task, run) in self.running:
                 delay_s = self.rng.uniform(0.0, 0.3)
-                asyncio.get_running_loop().call_later(delay_s, self._finish_if_there, task, run, self.boot)
+                asyncio.get_running_loop().call_later(delay_s, self._end_run_if_active, task, run, self.boot)
         elif call == "run-start":
-            return self._start(task, run=run, body=body, is_late=is_late)
+            return self._start_run(task, run=run, body=body, is_late=is_late)
         return web.json_response({"clock_ms": self.clock_ms})
 
-    def _start(self, task: str, *, run: int, body: dict[str, Any], is_late: bool) -> web.Response:
+    def _start_run(self, task: str, *, run: int, body: dict[str, Any], is_late: bool) -> web.Response:
         if (task, run) in self.running:
             return web.json_response({"clock_ms": self.clock_ms})
-        if run <= self.rejected.get(task, 0):
-            self._extend(body["deadline_ms"])
+        if run <= self.highest_ended_run.get(task, 0):
+            self._renew_lease(body["deadline_ms"])
             return self._refuse("old")
         if body["deadline_ms"] <= self.clock_ms:
             return self._refuse("late")
-        self._extend(body["deadline_ms"])
+        self._renew_lease(body["deadline_ms"])
         cpu_millis, duration_s = (float(word) for word in body["specification"].split())
-        if sum(one.cpu_millis for one in self.running.values()) + cpu_millis > CAPACITY["cpu"]:
+        if sum(active.cpu_millis for active in self.running.values()) + cpu_millis > CAPACITY["cpu"]:
             return self._refuse("room")
-        how = "failed" if self.rng.random() < self.fail_share else "done"
+        outcome = "failed" if self.rng.random() < self.failure_share else "done"
         timer = asyncio.get_running_loop().call_later(
-            duration_s * self.rng.uniform(0.5, 1.5), self._finish_if_there, task, run, self.boot, how
+            duration_s * self.rng.uniform(0.5, 1.5), self._end_run_if_active, task, run, self.boot, outcome
         )
-        self.running[task, run] = Running(cpu_millis=int(cpu_millis), timer=timer)
-        self.truth.start(task=task, run=run, vm=self.vm_id, is_late=is_late)
+        self.running[task, run] = ActiveRun(cpu_millis=int(cpu_millis), timer=timer)
+        self.checker.record_start(task=task, run=run, vm=self.vm_id, is_late=is_late)
         return web.json_response({"clock_ms": self.clock_ms})
 
     def _refuse(self, reason: str) -> web.Response:
         return web.json_response({"reason": reason, "clock_ms": self.clock_ms}, status=409)
 
-    def _extend(self, deadline_ms: int | None) -> None:
+    def _renew_lease(self, deadline_ms: int | None) -> None:
         if deadline_ms is not None:
-            self.lease_ms = max(self.lease_ms, min(deadline_ms, self.clock_ms + MAX_HOLD_MS))
+            self.lease_expiry_ms = max(self.lease_expiry_ms, min(deadline_ms, self.clock_ms + MAX_LEASE_MS))
 
-    def _finish_if_there(self, task: str, run: int, boot: int, how: str = "stopped") -> None:
+    def _end_run_if_active(self, task: str, run: int, boot: int, outcome: str = "stopped") -> None:
         if boot == self.boot and (task, run) in self.running:
-            self._finish(task, run=run, how=how)
+            self._end_run(task, run=run, outcome=outcome)
 
-    def _finish(self, task: str, *, run: int, how: str) -> None:
+    def _end_run(self, task: str, *, run: int, outcome: str) -> None:
         self.running.pop((task, run)).timer.cancel()
-        self.rejected[task] = max(run, self.rejected.get(task, 0))
-        self.ended += 1
-        self.finished.append([self.ended, task, run, how, ""])
-        self.truth.end(task=task, run=run, how=how)
-        self.changed.set()
+        self.highest_ended_run[task] = max(run, self.highest_ended_run.get(task, 0))
+        self.ended_count += 1
+        self.finished.append([self.ended_count, task, run, outcome, ""])
+        self.checker.record_end(task=task, run=run, outcome=outcome)
+        self.change_event.set()
 
 
-def _lose_answer(request: web.Request) -> web.Response:
+def _drop_response(request: web.Request) -> web.Response:
     if request.transport is not None:
         request.transport.abort()
-    return web.Response()  # nobody gets it
+    return web.Response()  # never sent: the connection is closed
 
 
 __all__ = ["WorkerVm"]
