--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -33,7 +33,7 @@
         role: `entry` or `control`.
         host: Loopback address.
         folder: Directory of settings, data and output.
-        http_address: Address for callers or operators as ``IP:PORT``.
+        http: Address for callers or operators as ``IP:PORT``.
         process: The process; None while it does not run.
         is_suspended: Whether the process is suspended by SIGSTOP.
     """
@@ -43,7 +43,7 @@
         self.role = role
         self.host = host
         self.folder = folder
-        self.http_address = f"{host}:{find_free_port(host)}"
+        self.http = f"{host}:{find_free_port(host)}"
         self.process: subprocess.Popen[bytes] | None = None
         self.is_suspended = False
         folder.mkdir(parents=True)
@@ -52,7 +52,7 @@
         self, *, seeds: list[str], peer_port: int, machine_api_address: str, bootstrap: bool
     ) -> None:
         """Writes the settings file that the platform reads at start."""
-        listen = {"front": self.http_address, "readiness": f"{self.host}:{find_free_port(self.host)}"}
+        listen = {"front": self.http, "readiness": f"{self.host}:{find_free_port(self.host)}"}
         settings = {
             "node_name": self.name,
             "ip_address": self.host,
@@ -62,7 +62,7 @@
             "bootstrap": bootstrap,
             "data_directory": str(self.folder / "data"),
             "zones": ZONES,
-            "listen_addresses": listen if self.role == "entry" else {"control": self.http_address},
+            "listen_addresses": listen if self.role == "entry" else {"control": self.http},
             "bounds": {"stop_timeout_ms": 400, "grace_period_s": 6.0},
             "fault_tolerance": {"machines": 1},
             "cloud_api": {"address": machine_api_address},
--- a/tests/soak/soak_run.py
+++ b/tests/soak/soak_run.py
@@ -145,7 +145,7 @@
         return Node(name=name, role=role, host=f"127.0.{subnet}.{number + 1}", folder=self.folder / name)
 
     def _configure(self, node: Node, *, bootstrap: bool) -> None:
-        seeds = [control.http_address for control in self.controls[:3]]
+        seeds = [control.http for control in self.controls[:3]]
         node.write_settings(
             seeds=seeds,
             peer_port=self.peer_port,
@@ -164,13 +164,13 @@
                 name=f"m{number}",
                 checker=self.checker,
                 rng=random.Random(f"{self.seed} worker {number}"),
-                control=[one.http_address for one in self.controls],
+                control=[one.http for one in self.controls],
             )
             await worker.start()
             proxy = await self._start_proxy(worker.address)
             worker.announced_address = proxy.address
             self.workers.append(worker)
-        entries = [(await self._start_proxy(entry.http_address)).address for entry in self.entries]
+        entries = [(await self._start_proxy(entry.http)).address for entry in self.entries]
         rng = random.Random(f"{self.seed} callers")
         self.callers = Callers(checker=self.checker, rng=rng, entries=entries)
         await self.callers.open()
@@ -188,7 +188,7 @@
         async with aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=3.0)) as session:
             while time.monotonic() < deadline:
                 try:
-                    url = f"http://{self.controls[0].http_address}/hyssopway/config"
+                    url = f"http://{self.controls[0].http}/hyssopway/config"
                     async with session.put(url, data=json.dumps(CONFIG)) as response:
                         if response.status == 200:
                             return
