--- a/tests/whole/test_crash_points.py
+++ b/tests/whole/test_crash_points.py
@@ -1,4 +1,4 @@
-"""Processes that kill themselves between receiving, writing, syncing, applying and answering."""
+"""Processes that crash between receiving, writing, syncing, applying and responding."""
 
 from __future__ import annotations
 
@@ -20,51 +20,51 @@
 
 WRITERS = 6
 CHANGES = 20
-WRITE_S = 12.0
+WRITE_TIMEOUT_S = 12.0
 
 
-async def grant(session: aiohttp.ClientSession, *, url: str, headers: dict[str, str], name: str) -> int:
-    """Returns the index of the change; 0 when it was not acknowledged."""
+async def grant_key(session: aiohttp.ClientSession, *, url: str, headers: dict[str, str], name: str) -> int:
+    """Grants a key and returns the index of the change, or 0 when it was not acknowledged."""
     body = {"key_id": name, "key_hash": "0" * 64, "team": "casco-bay"}
     try:
         async with session.post(
             f"{url}/v1/keys", json=body, headers=headers | {"Idempotency-Key": name}
-        ) as answer:
-            return int((await answer.json())["index"]) if answer.status == 200 else 0
+        ) as response:
+            return int((await response.json())["index"]) if response.status == 200 else 0
     except (aiohttp.ClientError, TimeoutError):
         return 0
 
 
 @pytest.mark.faults
 @pytest.mark.parametrize("point", CRASH_POINTS)
-async def test_acknowledged_changes_survive_crashes_at(
+async def test_acknowledged_changes_survive_crashes(
     point: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, session: aiohttp.ClientSession
 ):
-    """Guards against a change that an operator saw acknowledged and that is lost or applied twice."""
+    """Guards against an acknowledged change that is lost or applied twice after a crash."""
     rng = random.Random(f"crash {point}")
     deployment = Deployment.prepare(name="pantry", folder=tmp_path, overrides={"snapshot_entries": 20})
     headers = {"Authorization": f"Bearer {deployment.operator_token}"}
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    rare = point in ("vote-synced", "snapshot-written", "log-replaced")
+    is_rare = point in ("vote-synced", "snapshot-written", "log-replaced")
     deployment.start()
     await deployment.wait_ready()
     client = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
     await client.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
     deployment.stop()
     for daemon in deployment.daemons.values():
-        count = rng.randint(1, 2) if rare else rng.randint(10, 60)
+        count = rng.randint(1, 2) if is_rare else rng.randint(10, 60)
         monkeypatch.setenv(CRASH_POINT_VARIABLE, f"{point}:{count}")
         daemon.start()
     monkeypatch.delenv(CRASH_POINT_VARIABLE)
     acknowledged: dict[str, int] = {}
-    deadline = time.monotonic() + WRITE_S
+    deadline = time.monotonic() + WRITE_TIMEOUT_S
 
     async def write(writer: int) -> None:
         for number in range(CHANGES):
             name = f"w{writer}n{number}"
             while name not in acknowledged and time.monotonic() < deadline:
                 url = rng.choice(urls)
-                index = await grant(session, url=url, headers=headers, name=name)
+                index = await grant_key(session, url=url, headers=headers, name=name)
                 if index:
                     acknowledged[name] = index
                 else:
@@ -77,15 +77,15 @@
             daemon.kill()
         deployment.start(initialise=False)
         await deployment.wait_ready()
-        everything = [f"w{writer}n{number}" for writer in range(WRITERS) for number in range(CHANGES)]
-        await _wait_for_keys(session, url=urls[0], headers=headers, wanted=set(acknowledged))
-        again: dict[str, int] = {}
-        for name in everything:
-            again[name] = await grant(session, url=rng.choice(urls), headers=headers, name=name)
-        # A resend gets the index of the first outcome, so an equal index shows that nothing ran twice.
-        assert {name: again[name] for name in acknowledged} == acknowledged
-        found = await _wait_for_keys(session, url=urls[0], headers=headers, wanted=set(everything))
-        assert sorted(found) == sorted(everything)
+        all_names = [f"w{writer}n{number}" for writer in range(WRITERS) for number in range(CHANGES)]
+        await _wait_for_keys(session, url=urls[0], headers=headers, expected=set(acknowledged))
+        retried: dict[str, int] = {}
+        for name in all_names:
+            retried[name] = await grant_key(session, url=rng.choice(urls), headers=headers, name=name)
+        # A retry returns the index of the first outcome, so equal indexes show that no change was applied twice.
+        assert {name: retried[name] for name in acknowledged} == acknowledged
+        found = await _wait_for_keys(session, url=urls[0], headers=headers, expected=set(all_names))
+        assert sorted(found) == sorted(all_names)
         assert crashed
     finally:
         deployment.stop()
@@ -96,14 +96,14 @@
 
 
 async def _wait_for_keys(
-    session: aiohttp.ClientSession, *, url: str, headers: dict[str, str], wanted: set[str]
+    session: aiohttp.ClientSession, *, url: str, headers: dict[str, str], expected: set[str]
 ) -> list[str]:
-    # The list is read from the replica of one daemon, which follows the answer of another within moments.
+    # The list comes from the replica of one daemon, which may briefly lag behind the daemon that responded.
     deadline = time.monotonic() + 5
     while True:
-        async with session.get(f"{url}/v1/keys", headers=headers) as answer:
-            found = [key["key_id"] for key in (await answer.json())["keys"]]
-        if wanted <= set(found):
+        async with session.get(f"{url}/v1/keys", headers=headers) as response:
+            found = [key["key_id"] for key in (await response.json())["keys"]]
+        if expected <= set(found):
             return found
-        assert time.monotonic() < deadline, wanted - set(found)
+        assert time.monotonic() < deadline, expected - set(found)
         await asyncio.sleep(0.05)
--- a/tests/whole/test_cuts.py
+++ b/tests/whole/test_cuts.py
@@ -1,4 +1,4 @@
-"""Silent partitions between real processes."""
+"""Network partitions between processes that drop traffic without closing connections."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
     Directions = set[tuple[str, str]]
 
-# Promises 3 and 5 allow 5 s.
-LIMIT_S = 5.0
-PROBE_S = 0.2
+# Guarantees 3 and 5 allow 5 s until a withdrawn key or zone is out of use everywhere.
+EFFECT_LIMIT_S = 5.0
+PROBE_INTERVAL_S = 0.2
 VOTERS = ("nashua-1", "nashua-2", "worcester-1", "providence-1", "portland-1")
 DAEMONS = (*VOTERS, "worcester-2")
-# Changes of the long isolation: more than a snapshot apart, so the log no longer has what the daemon misses.
+# More changes than between two snapshots, so the log no longer holds what the isolated daemon missed.
 MISSED_CHANGES = 150
 SNAPSHOT_ENTRIES = 50
 
 
-def alone(*names: str) -> Directions:
+def isolate(*names: str) -> Directions:
     return between(names, set(DAEMONS) - set(names))
 
 
@@ -45,52 +45,66 @@
     return [name for name in VOTERS if name != leader]
 
 
-def mute(leader: str) -> Directions:
+def block_outbound(leader: str) -> Directions:
     return {(leader, other) for other in DAEMONS if other != leader}
 
 
-def deaf(leader: str) -> Directions:
+def block_inbound(leader: str) -> Directions:
     return {(other, leader) for other in DAEMONS if other != leader}
 
 
 @dataclass(frozen=True, slots=True)
-class Case:
-    """A cut: what is cut given the leader, who is cut off, and how many changes they miss."""
+class PartitionCase:
+    """A partition.
+
+    Attributes:
+        name: Test ID.
+        blocked: Returns the blocked directions for a given leader.
+        isolated: Returns the daemons that lose contact to the leader or the majority.
+        missed_changes: Number of changes during the partition.
+    """
 
     name: str
-    cut: Callable[[str], Directions]
-    cut_off: Callable[[str], set[str]]
-    changes: int = 1
+    blocked: Callable[[str], Directions]
+    isolated: Callable[[str], set[str]]
+    missed_changes: int = 1
 
 
 CASES = [
-    Case("one member", lambda _: alone("portland-1"), lambda _: {"portland-1"}),
-    Case(
+    PartitionCase("one member", lambda _: isolate("portland-1"), lambda _: {"portland-1"}),
+    PartitionCase(
         "a whole zone",
-        lambda _: alone("nashua-1", "nashua-2"),
+        lambda _: isolate("nashua-1", "nashua-2"),
         lambda _: {"nashua-1", "nashua-2"},
     ),
-    Case(
+    PartitionCase(
         "leader from two voters",
         lambda leader: between([leader], voters_without(leader)[:2]),
         lambda leader: set(voters_without(leader)[:2]),
     ),
-    Case(
+    PartitionCase(
         "leader from three voters",
         lambda leader: between([leader], voters_without(leader)[:3]),
         lambda leader: {leader},
     ),
-    Case("leader cannot send", mute, lambda leader: {leader}),
-    Case("leader cannot receive", deaf, lambda leader: {leader}),
-    Case("member cannot send", lambda _: mute("portland-1"), lambda _: {"portland-1"}),
-    Case("member cannot receive", lambda _: deaf("portland-1"), lambda _: {"portland-1"}),
-    Case("long isolation", lambda _: alone("portland-1"), lambda _: {"portland-1"}, MISSED_CHANGES),
+    PartitionCase("leader cannot send", block_outbound, lambda leader: {leader}),
+    PartitionCase("leader cannot receive", block_inbound, lambda leader: {leader}),
+    PartitionCase("member cannot send", lambda _: block_outbound("portland-1"), lambda _: {"portland-1"}),
+    PartitionCase("member cannot receive", lambda _: block_inbound("portland-1"), lambda _: {"portland-1"}),
+    PartitionCase(
+        "long isolation", lambda _: isolate("portland-1"), lambda _: {"portland-1"}, MISSED_CHANGES
+    ),
 ]
 
 
 @dataclass(slots=True)
 class Probe:
-    """Requests to one service through one daemon."""
+    """Sends requests to one service through one daemon and records the results.
+
+    Attributes:
+        daemon: Name of the daemon.
+        results: Send time, HTTP status and body of each request; status 0 without a response.
+    """
 
     daemon: str
     results: list[tuple[float, int, str]] = field(default_factory=list)
@@ -100,14 +114,14 @@
         while True:
             sent_at = time.monotonic()
             try:
-                async with session.post(url, data=b"x", headers=headers) as answer:
-                    body = await answer.read()
-                    self.results.append((sent_at, answer.status, body[:200].decode()))
+                async with session.post(url, data=b"x", headers=headers) as response:
+                    body = await response.read()
+                    self.results.append((sent_at, response.status, body[:200].decode()))
             except (aiohttp.ClientError, TimeoutError) as error:
                 self.results.append((sent_at, 0, repr(error)))
-            await asyncio.sleep(PROBE_S)
+            await asyncio.sleep(PROBE_INTERVAL_S)
 
-    def between(self, start: float, end: float) -> Counter[int]:
+    def count_statuses(self, start: float, end: float) -> Counter[int]:
         return Counter(status for sent_at, status, _ in self.results if start < sent_at < end)
 
 
@@ -120,7 +134,7 @@
 
 @pytest.fixture
 async def deployment(tmp_path: Path, network: Network) -> AsyncIterator[Deployment]:
-    """Six daemons that reach one another through the relays."""
+    """Starts six daemons that reach one another through the relays of the network."""
     overrides = {"snapshot_entries": SNAPSHOT_ENTRIES}
     prepared = Deployment.prepare(name="pantry", folder=tmp_path, overrides=overrides)
     await network.attach(prepared)
@@ -141,23 +155,26 @@
     outside: Outside,
     session: aiohttp.ClientSession,
     *,
-    case: Case,
+    case: PartitionCase,
 ):
-    """Guards against work on a withdrawn key or zone behind a cut, and states that differ after it."""
+    """Guards against use of a withdrawn key or zone during a partition, and diverged replicas after it."""
     key = await operator.grant_key("casco-bay")
     leader = await find_leader(operator)
-    cut_off = case.cut_off(leader)
-    majority = [name for name in DAEMONS if name not in cut_off]
-    zone = deployment.daemons[min(cut_off)].zone
+    isolated = case.isolated(leader)
+    majority = [name for name in DAEMONS if name not in isolated]
+    zone = deployment.daemons[min(isolated)].zone
     operator.url = url = deployment.daemons[majority[0]].url
-    keyed = [Probe(name) for name in DAEMONS]
-    queues = [Probe(name) for name in DAEMONS]
+    key_probes = [Probe(name) for name in DAEMONS]
+    queue_probes = [Probe(name) for name in DAEMONS]
     await wait_until(lambda: all_registered(operator))
-    await wait_until(lambda: all_served(session, deployment, key=key))
+    await wait_until(lambda: all_daemons_serve(session, deployment, key=key))
     async with asyncio.TaskGroup() as group:
         load = [
-            group.create_task(probe.run(session, url=target(deployment, probe, path), key=secret))
-            for probes, path, secret in ((keyed, "restock-plan/p", key), (queues, "pickup-schedule/p", ""))
+            group.create_task(probe.run(session, url=probe_url(deployment, probe, path), key=secret))
+            for probes, path, secret in (
+                (key_probes, "restock-plan/p", key),
+                (queue_probes, "pickup-schedule/p", ""),
+            )
             for probe in probes
         ]
         jobs = submit_jobs(
@@ -169,48 +186,48 @@
             for_s=60,
         )
         load.append(group.create_task(jobs))
-        await wait_until(lambda: started_in(outside, zone))
-        network.cut(case.cut(leader))
-        cut_at = time.monotonic()
-        await wait_until(lambda: try_withdraw(operator, key), timeout_s=LIMIT_S)
-        withdrawn_at = time.monotonic()
+        await wait_until(lambda: any_start_in(outside, zone))
+        network.cut(case.blocked(leader))
+        partitioned_at = time.monotonic()
+        await wait_until(lambda: try_withdraw_key(operator, key), timeout_s=EFFECT_LIMIT_S)
+        key_withdrawn_at = time.monotonic()
         await operator.post(f"/v1/zones/{zone}", {"status": "withdrawn", "expected_epoch": 0})
-        zone_at = time.monotonic()
-        for _ in range(case.changes):
+        zone_withdrawn_at = time.monotonic()
+        for _ in range(case.missed_changes):
             await operator.grant_key("casco-bay")
-        # What must not happen is watched for a while behind the limit.
-        await asyncio.sleep(max(0.0, zone_at + 2 * LIMIT_S - time.monotonic()))
+        # Keeps watching after the limit for requests and starts that must not happen.
+        await asyncio.sleep(max(0.0, zone_withdrawn_at + 2 * EFFECT_LIMIT_S - time.monotonic()))
         network.heal()
         healed_at = time.monotonic()
         for task in load:
             task.cancel()
-    assert withdrawn_at - cut_at < LIMIT_S
-    for probe in keyed:
-        statuses = probe.between(withdrawn_at + LIMIT_S, healed_at + LIMIT_S)
+    assert key_withdrawn_at - partitioned_at < EFFECT_LIMIT_S
+    for probe in key_probes:
+        statuses = probe.count_statuses(key_withdrawn_at + EFFECT_LIMIT_S, healed_at + EFFECT_LIMIT_S)
         assert statuses, probe.daemon
         assert set(statuses) <= {403, 503}, (probe.daemon, probe.results[-5:])
-    # Endpoints announce themselves to the first entry of their zone; another entry knows them through it only.
-    homes = {deployment.entries(deployment.daemons[name].zone)[0] for name in cut_off}
-    for probe in queues:
-        if deployment.daemons[probe.daemon].url in homes:
-            served = probe.between(cut_at + LIMIT_S, healed_at)
+    # Endpoints announce themselves to the first entry daemon of their zone; others know them only through it.
+    home_urls = {deployment.entries(deployment.daemons[name].zone)[0] for name in isolated}
+    for probe in queue_probes:
+        if deployment.daemons[probe.daemon].url in home_urls:
+            served = probe.count_statuses(partitioned_at + EFFECT_LIMIT_S, healed_at)
             assert served[200] >= sum(served.values()) - 1 > 0, (probe.daemon, probe.results[-5:])
     starts = [
         start[0] for worker in outside.workers.values() if worker.zone == zone for start in worker.starts
     ]
-    assert not [at - zone_at for at in starts if at > zone_at + LIMIT_S]
+    assert not [at - zone_withdrawn_at for at in starts if at > zone_withdrawn_at + EFFECT_LIMIT_S]
     await wait_until(lambda: replicas_converged(deployment, operator), timeout_s=20)
 
 
-def target(deployment: Deployment, probe: Probe, path: str) -> str:
+def probe_url(deployment: Deployment, probe: Probe, path: str) -> str:
     return f"{deployment.daemons[probe.daemon].url}/call/{path}"
 
 
-async def try_withdraw(operator: OperatorClient, key: str) -> bool:
+async def try_withdraw_key(operator: OperatorClient, key: str) -> bool:
     try:
         await operator.delete(f"/v1/keys/{key.split('_')[1]}")
     except RuntimeError as error:
-        # A lost answer of the first try makes the next one find the key withdrawn.
+        # If the response to the first attempt was lost, the next attempt finds the key already withdrawn.
         return "KEY" in str(error)
     return True
 
@@ -219,14 +236,14 @@
     return len((await operator.get("/v1/vms"))["vms"]) == 40
 
 
-async def all_served(session: aiohttp.ClientSession, deployment: Deployment, *, key: str) -> bool:
+async def all_daemons_serve(session: aiohttp.ClientSession, deployment: Deployment, *, key: str) -> bool:
     for daemon in deployment.daemons.values():
         headers = {"Authorization": f"Bearer {key}"}
-        async with session.post(f"{daemon.url}/call/restock-plan/p", data=b"x", headers=headers) as answer:
-            if answer.status != 200:
+        async with session.post(f"{daemon.url}/call/restock-plan/p", data=b"x", headers=headers) as response:
+            if response.status != 200:
                 return False
     return True
 
 
-async def started_in(outside: Outside, zone: str) -> bool:
+async def any_start_in(outside: Outside, zone: str) -> bool:
     return any(worker.starts for worker in outside.workers.values() if worker.zone == zone)
--- a/tests/whole/test_drains.py
+++ b/tests/whole/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains and moves through real processes; truth is counted at the workers."""
+"""Drains and moves of VMs through real processes, checked against the runs on the workers."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 async def start_job(
     deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
 ):
-    """Starts a job of 30 s and returns its id and VM."""
+    """Returns a function that starts a job of 30 s and returns its ID and VM."""
     key = await operator.grant_key("granite-hearth")
     url = deployment.daemons["portland-1"].url
 
@@ -32,8 +32,8 @@
         headers = {"Authorization": f"Bearer {key}"}
 
         async def accept() -> Any:
-            async with session.post(f"{url}/v1/jobs", json=spec, headers=headers) as answer:
-                return await answer.json() if answer.status == 202 else None
+            async with session.post(f"{url}/v1/jobs", json=spec, headers=headers) as response:
+                return await response.json() if response.status == 202 else None
 
         job_id = (await wait_until(accept))["job_id"]
 
@@ -48,47 +48,47 @@
 async def test_drain_checkpoints_or_waits_and_operator_decides(
     deployment: Deployment, outside: Outside, operator: OperatorClient, start_job: Any
 ):
-    """Guards against a drain that cuts work off, and against one that ends without an answer."""
+    """Guards against a drain that interrupts work, and one that ends without the decision of an operator."""
     text = (EXAMPLES / "pantry" / "document.yaml").read_text().replace("drain_s: 600", "drain_s: 1")
-    tried = await operator.post("/v1/documents/trial", {"text": text, "expected_generation": 1})
-    await operator.post("/v1/documents/production", {"digest": tried["reference"], "expected_generation": 1})
-    saved, vm = await start_job(checkpointable=True)
-    await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await epoch(operator, vm)})
-    await wait_until(lambda: in_state(operator, vm, "drained"))
-    assert (await operator.get(f"/v1/explain/job/{saved}"))["checkpoint"] == "checkpoint"
-    moved = next(name for name, worker in outside.workers.items() if saved in worker.tasks)
-    assert moved != vm
-    await operator.post(f"/v1/vms/{vm}/return", {"expected_epoch": await epoch(operator, vm)})
+    trial = await operator.post("/v1/documents/trial", {"text": text, "expected_generation": 1})
+    await operator.post("/v1/documents/production", {"digest": trial["reference"], "expected_generation": 1})
+    checkpointed_job, vm = await start_job(checkpointable=True)
+    await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await read_epoch(operator, vm)})
+    await wait_until(lambda: vm_in_state(operator, vm, "drained"))
+    assert (await operator.get(f"/v1/explain/job/{checkpointed_job}"))["checkpoint"] == "checkpoint"
+    new_vm = next(name for name, worker in outside.workers.items() if checkpointed_job in worker.tasks)
+    assert new_vm != vm
+    await operator.post(f"/v1/vms/{vm}/return", {"expected_epoch": await read_epoch(operator, vm)})
 
     job, vm = await start_job(checkpointable=False)
-    await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await epoch(operator, vm)})
-    await wait_until(lambda: overdue(operator, vm))
-    await wait_until(lambda: asked(deployment, vm))
+    await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await read_epoch(operator, vm)})
+    await wait_until(lambda: is_permit_overdue(operator, vm))
+    await wait_until(lambda: decision_requested(deployment, vm))
     assert job in outside.workers[vm].tasks
-    stop = {"expected_epoch": await epoch(operator, vm), "decision": "stop"}
+    stop = {"expected_epoch": await read_epoch(operator, vm), "decision": "stop"}
     await operator.post(f"/v1/vms/{vm}/decision", stop)
-    await wait_until(lambda: in_state(operator, vm, "drained"))
+    await wait_until(lambda: vm_in_state(operator, vm, "drained"))
     assert (await operator.get(f"/v1/explain/job/{job}"))["status"] in ("pending", "running")
 
 
 async def test_move_and_failure_of_a_vm(
     deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
 ):
-    """Guards against a move that leaves the VM stopped, and a lost VM that stays in use."""
+    """Guards against a move that leaves the VM stopped, and a failed VM that remains in use."""
     vm = "back-office-vm-1"
-    await wait_until(lambda: in_state(operator, vm, "ready"))
-    body = {"expected_epoch": await epoch(operator, vm), "target": "restock"}
+    await wait_until(lambda: vm_in_state(operator, vm, "ready"))
+    body = {"expected_epoch": await read_epoch(operator, vm), "target": "restock"}
     first = await operator.post(f"/v1/vms/{vm}/move", body, request_id="move-1")
-    moved = await wait_until(lambda: in_pool(operator, vm, "restock"))
+    moved = await wait_until(lambda: vm_in_pool(operator, vm, "restock"))
     assert moved["state"] == "ready"
     assert await operator.post(f"/v1/vms/{vm}/move", body, request_id="move-1") == first
     outside.workers[vm].stop()
-    await wait_until(lambda: in_state(operator, vm, "down"))
+    await wait_until(lambda: vm_in_state(operator, vm, "down"))
     outside.workers[vm].start()
-    await wait_until(lambda: in_state(operator, vm, "ready"))
+    await wait_until(lambda: vm_in_state(operator, vm, "ready"))
 
 
-async def asked(deployment: Deployment, vm: str) -> bool:
+async def decision_requested(deployment: Deployment, vm: str) -> bool:
     logs = "".join(daemon.log_path.read_text() for daemon in deployment.daemons.values())
     return f"VM {vm} needs a decision" in logs
 
@@ -98,20 +98,20 @@
     return next((item["vm"] for item in listed if item["vm"]["name"] == vm), None)
 
 
-async def epoch(operator: OperatorClient, vm: str) -> int:
+async def read_epoch(operator: OperatorClient, vm: str) -> int:
     return int((await find_vm(operator, vm))["epoch"])
 
 
-async def in_state(operator: OperatorClient, vm: str, state: str) -> Any:
+async def vm_in_state(operator: OperatorClient, vm: str, state: str) -> Any:
     found = await find_vm(operator, vm)
     return found if found and found["state"] == state else None
 
 
-async def in_pool(operator: OperatorClient, vm: str, pool: str) -> Any:
+async def vm_in_pool(operator: OperatorClient, vm: str, pool: str) -> Any:
     found = await find_vm(operator, vm)
     return found if found and found["pool"] == pool else None
 
 
-async def overdue(operator: OperatorClient, vm: str) -> bool:
+async def is_permit_overdue(operator: OperatorClient, vm: str) -> bool:
     permits = (await operator.get("/v1/permits"))["permits"]
     return any(item["permit"]["vm"] == vm and item["overdue"] for item in permits)
--- a/tests/whole/test_whole_path.py
+++ b/tests/whole/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""A request and a job through real processes."""
+"""Requests and jobs through real processes, without faults."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from hyssopway_standins.processes import Deployment
 
 
-async def test_request_through_each_entry_returns_whole_answer(
+async def test_request_through_each_entry_vm_returns_complete_response(
     deployment: Deployment, outside: Outside, session: aiohttp.ClientSession
 ):
     """Guards against an entry VM that cannot reach endpoints of other zones."""
     for daemon in deployment.daemons.values():
-        answer = await _call_until_served(session, f"{daemon.url}/call/pickup-schedule/plan", data=b"route")
-        assert answer == b"route"
+        response = await _call_until_served(session, f"{daemon.url}/call/pickup-schedule/plan", data=b"route")
+        assert response == b"route"
 
 
-async def test_non_idempotent_request_runs_once_over_resends(
+async def test_non_idempotent_request_runs_once_over_retries(
     deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
 ):
-    """Guards against a second van when the balancer sends a request again to other entry VMs."""
+    """Guards against repeated execution when a load balancer retries a request at other entry VMs."""
     key = await operator.grant_key("casco-bay")
     headers = {"Authorization": f"Bearer {key}", "Idempotency-Key": "van-1"}
     for daemon in deployment.daemons.values():
@@ -56,9 +56,9 @@
 async def _call_until_served(session: aiohttp.ClientSession, url: str, **options: Any) -> bytes:
     deadline = time.monotonic() + 10
     while True:
-        async with session.post(url, **options) as answer:
-            body = await answer.read()
-            if answer.status in (200, 202):
+        async with session.post(url, **options) as response:
+            body = await response.read()
+            if response.status in (200, 202):
                 return body
         assert time.monotonic() < deadline, body
         await asyncio.sleep(0.1)
@@ -67,8 +67,8 @@
 async def _wait_for_end(session: aiohttp.ClientSession, url: str, **options: Any) -> Any:
     deadline = time.monotonic() + 10
     while True:
-        async with session.get(url, **options) as answer:
-            job = await answer.json()
+        async with session.get(url, **options) as response:
+            job = await response.json()
         if job.get("status") in ("done", "failed", "cancelled", "cannot_run"):
             return job
         assert time.monotonic() < deadline, job
--- a/tests/whole/test_job_faults.py
+++ b/tests/whole/test_job_faults.py
@@ -1,4 +1,4 @@
-"""A burst of jobs while daemons and workers fail; the truth is counted at the workers."""
+"""Bursts of jobs while daemons and workers fail, checked against the runs on the workers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from hyssopway_standins.processes import Deployment
     from hyssopway_standins.worker import WorkerStandIn
 
-FINAL = {"done", "failed", "cancelled", "cannot_run"}
+FINAL_STATUSES = {"done", "failed", "cancelled", "cannot_run"}
 TEAMS = ("granite-hearth", "seacoast-volunteers")
 POOLS = ("restock", "matching", "pickup", "dispatch")
 JOBS = 300
@@ -30,30 +30,35 @@
 
 
 @pytest.mark.faults
-async def test_burst_of_jobs_survives_kills_freezes_and_restarts(
+async def test_burst_of_jobs_survives_kills_suspensions_and_restarts(
     deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
 ):
-    """Guards against lost jobs, two live runs of one job and a team above its upper limit."""
+    """Guards against lost jobs, concurrent runs of one job and a team above its upper limit."""
     keys = {team: await operator.grant_key(team) for team in TEAMS}
     limits = await _read_limits(operator)
     burst = asyncio.create_task(_submit_all(deployment, session, keys=keys))
-    await _break_things(deployment, outside)
+    await _inject_faults(deployment, outside)
     teams = await burst
-    jobs = await _wait_for_ends(deployment, session, keys=keys)
+    jobs = await _wait_until_ended(deployment, session, keys=keys)
     assert set(jobs) == set(teams)
     assert Counter(job["status"] for job in jobs.values()) == {"done": JOBS}
-    spans = _spans(list(outside.workers.values()))
+    intervals = _list_run_intervals(list(outside.workers.values()))
     for job_id, team in teams.items():
-        assert _most_at_once([span for name, span in spans if name == job_id]) == 1, (job_id, team)
+        assert _max_concurrent([interval for name, interval in intervals if name == job_id]) == 1, (
+            job_id,
+            team,
+        )
     for team, limit in limits.items():
-        assert 1 <= _most_at_once([span for name, span in spans if teams[name] == team]) <= limit
+        assert (
+            1 <= _max_concurrent([interval for name, interval in intervals if teams[name] == team]) <= limit
+        )
 
 
 @pytest.mark.faults
-async def test_runs_of_a_frozen_home_move_on_and_never_run_twice_at_once(
+async def test_runs_of_a_suspended_home_are_restarted_and_never_overlap(
     deployment: Deployment, session: aiohttp.ClientSession
 ):
-    """Guards against runs that wait for ever for a lost home, and against starting them too early."""
+    """Guards against runs that wait forever for a lost home, and runs restarted while the old one is active."""
     home = deployment.daemons["portland-1"]
     url = deployment.daemons["nashua-1"].url
     operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
@@ -67,42 +72,44 @@
         ids = await asyncio.gather(*submit)
         await _wait_until(lambda: sum(len(w.tasks) for w in outside.workers.values()) == len(ids))
         home.send(signal.SIGSTOP)
-        jobs = await _wait_for_ends(deployment, session, keys={TEAMS[0]: key}, count=len(ids))
+        jobs = await _wait_until_ended(deployment, session, keys={TEAMS[0]: key}, count=len(ids))
         home.send(signal.SIGCONT)
         await asyncio.sleep(5)
     finally:
         await outside.stop()
     assert Counter(job["status"] for job in jobs.values()) == {"done": len(ids)}
     assert any("portland-1 out of contact" in line for job in jobs.values() for line in job["history"])
-    spans = _spans(list(outside.workers.values()))
+    intervals = _list_run_intervals(list(outside.workers.values()))
     for job_id in ids:
-        assert _most_at_once([span for name, span in spans if name == job_id]) == 1
+        assert _max_concurrent([interval for name, interval in intervals if name == job_id]) == 1
 
 
 @pytest.mark.faults
-async def test_jobs_go_elsewhere_when_the_only_entry_of_a_zone_is_killed(
+async def test_jobs_run_in_other_zones_when_the_only_entry_vm_of_a_zone_is_killed(
     deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
 ):
-    """Guards against jobs that wait on workers whose only entry is gone."""
+    """Guards against jobs that remain placed on workers whose only entry VM is down."""
     key = await operator.grant_key(TEAMS[0])
     workers = list(outside.workers.values())
-    lost = [worker for worker in workers if worker.zone == "Portland"]
+    zone_workers = [worker for worker in workers if worker.zone == "Portland"]
     await _wait_until(lambda: all(worker.lease_until for worker in workers))
     before = await _submit_many(deployment, session, key=key, numbers=range(20))
-    await _wait_until(lambda: any(worker.starts for worker in lost))
+    await _wait_until(lambda: any(worker.starts for worker in zone_workers))
     deployment.daemons["portland-1"].kill()
     killed_at = time.monotonic()
     after = await _submit_many(deployment, session, key=key, numbers=range(20, 60))
     accepted_at = time.monotonic()
-    jobs = await _wait_for_ends(deployment, session, keys={TEAMS[0]: key}, ids=after)
+    jobs = await _wait_until_ended(deployment, session, keys={TEAMS[0]: key}, ids=after)
     took_s = time.monotonic() - accepted_at
     assert Counter(jobs[job_id]["status"] for job_id in after) == {"done": len(after)}
     assert took_s < 6, took_s
-    late = [job_id for worker in lost for at, job_id, _ in worker.starts if at > killed_at]
-    assert not set(late) & set(after)
-    spans = _spans(workers)
+    started_after_kill = [
+        job_id for worker in zone_workers for at, job_id, _ in worker.starts if at > killed_at
+    ]
+    assert not set(started_after_kill) & set(after)
+    intervals = _list_run_intervals(workers)
     for job_id in (*before, *after):
-        assert _most_at_once([span for name, span in spans if name == job_id]) <= 1
+        assert _max_concurrent([interval for name, interval in intervals if name == job_id]) <= 1
 
 
 async def _wait_until(condition: Callable[[], bool]) -> None:
@@ -111,7 +118,7 @@
             await asyncio.sleep(0.05)
 
 
-async def _break_things(deployment: Deployment, outside: Outside) -> None:
+async def _inject_faults(deployment: Deployment, outside: Outside) -> None:
     daemons = deployment.daemons
     workers = {
         zone: [w for w in outside.workers.values() if w.zone == zone] for zone in ("Nashua", "Portland")
@@ -138,12 +145,12 @@
 async def _submit_all(
     deployment: Deployment, session: aiohttp.ClientSession, *, keys: dict[str, str]
 ) -> dict[str, str]:
-    slots = asyncio.Semaphore(16)
+    semaphore = asyncio.Semaphore(16)
 
     async def submit(number: int) -> tuple[str, str]:
         team = list(keys)[number % len(keys)]
         await asyncio.sleep(number * 0.03)
-        async with slots:
+        async with semaphore:
             return await _submit(deployment, session, number=number, key=keys[team]), team
 
     return dict(await asyncio.gather(*(submit(number) for number in range(JOBS))))
@@ -174,16 +181,16 @@
         url = f"{urls[attempt % len(urls)]}/v1/jobs"
         timeout = aiohttp.ClientTimeout(total=3)
         try:
-            async with session.post(url, json=spec, headers=headers, timeout=timeout) as answer:
-                if answer.status == 202:
-                    return str((await answer.json())["job_id"])
+            async with session.post(url, json=spec, headers=headers, timeout=timeout) as response:
+                if response.status == 202:
+                    return str((await response.json())["job_id"])
         except (aiohttp.ClientError, TimeoutError):
             pass
         await asyncio.sleep(0.1)
     raise TimeoutError(f"job {number} was not accepted")
 
 
-async def _wait_for_ends(
+async def _wait_until_ended(
     deployment: Deployment,
     session: aiohttp.ClientSession,
     *,
@@ -196,22 +203,22 @@
     while True:
         jobs: dict[str, Any] = {}
         for key in keys.values():
-            async with session.get(f"{url}/v1/jobs", headers={"Authorization": f"Bearer {key}"}) as answer:
-                body = json.loads(await answer.read())
+            async with session.get(f"{url}/v1/jobs", headers={"Authorization": f"Bearer {key}"}) as response:
+                body = json.loads(await response.read())
             jobs |= {job["job_id"]: job for job in body.get("jobs", [])}
         awaited = [jobs[job_id] for job_id in ids if job_id in jobs] if ids else list(jobs.values())
-        left = [job for job in awaited if job["status"] not in FINAL]
-        if len(awaited) >= (len(ids) or count) and not left:
+        unfinished = [job for job in awaited if job["status"] not in FINAL_STATUSES]
+        if len(awaited) >= (len(ids) or count) and not unfinished:
             return jobs
         assert time.monotonic() < deadline, (
             len(jobs),
-            [(j["status"], j["run"], j["history"]) for j in left[:5]],
+            [(j["status"], j["run"], j["history"]) for j in unfinished[:5]],
         )
         await asyncio.sleep(0.5)
 
 
 async def _read_limits(operator: OperatorClient) -> dict[str, int]:
-    teams = [shown["team"] for shown in (await operator.get("/v1/teams"))["teams"]]
+    teams = [item["team"] for item in (await operator.get("/v1/teams"))["teams"]]
     return {
         team["name"]: min(team["max_running"], int(team["limit"]["cores"]) // CORES)
         for team in teams
@@ -219,19 +226,21 @@
     }
 
 
-def _spans(workers: list[WorkerStandIn]) -> list[tuple[str, tuple[float, float]]]:
-    found = []
+def _list_run_intervals(workers: list[WorkerStandIn]) -> list[tuple[str, tuple[float, float]]]:
+    intervals = []
     for worker in workers:
         ends = {(job_id, epoch): at for at, job_id, epoch in worker.ends}
         assert len(ends) == len(worker.ends), f"a run started twice on {worker.vm}"
-        found += [(job_id, (at, ends.get((job_id, epoch), at + 1e9))) for at, job_id, epoch in worker.starts]
-    return found
+        intervals += [
+            (job_id, (at, ends.get((job_id, epoch), at + 1e9))) for at, job_id, epoch in worker.starts
+        ]
+    return intervals
 
 
-def _most_at_once(spans: list[tuple[float, float]]) -> int:
-    changes = sorted([(at, 1) for at, _ in spans] + [(at, -1) for _, at in spans])
-    most = present = 0
+def _max_concurrent(intervals: list[tuple[float, float]]) -> int:
+    changes = sorted([(at, 1) for at, _ in intervals] + [(at, -1) for _, at in intervals])
+    highest = current = 0
     for _, change in changes:
-        present += change
-        most = max(most, present)
-    return most
+        current += change
+        highest = max(highest, current)
+    return highest
--- a/tests/whole/test_planned_stops.py
+++ b/tests/whole/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Slow requests while VMs drain, a wave reboots VMs, an endpoint leaves and a daemon stops."""
+"""Slow requests while VMs drain, a wave reboots VMs, an endpoint leaves and a daemon shuts down."""
 
 from __future__ import annotations
 
@@ -25,23 +25,28 @@
     from hyssopway_standins.outside import Outside
 
 WAVE_VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
-DRAINED = ["restock-vm-1", "matching-vm-2", "dispatch-vm-3", "back-office-vm-4"]
+DRAINED_VMS = ["restock-vm-1", "matching-vm-2", "dispatch-vm-3", "back-office-vm-4"]
 CALLERS = 60
-SLOW_S = 2.0
-# Longer than the 10 s of the services' own deadline.
-LONG_S = 12.0
+SLOW_REQUEST_S = 2.0
+# Longer than the default deadline of the services, 10 s.
+LONG_REQUEST_S = 12.0
 LONG_TIMEOUT_S = 25.0
-LAST_NEW_WORK_S = 5.0
-# Its zone has a second entry, so that workers and endpoints there keep a home.
-STOPPED = "worcester-1"
+NEW_WORK_LIMIT_S = 5.0
+# Its zone has a second entry daemon, so that workers and endpoints there keep a home.
+STOPPED_DAEMON = "worcester-1"
 
 
 @dataclass(slots=True)
-class Truth:
-    """What callers and VMs saw."""
+class Observations:
+    """What callers and VMs observed.
+
+    Attributes:
+        outcomes: Number of requests by outcome.
+        interrupted: Descriptions of requests that a planned stop interrupted.
+    """
 
     outcomes: Counter[str] = field(default_factory=Counter)
-    cut: list[str] = field(default_factory=list)
+    interrupted: list[str] = field(default_factory=list)
 
 
 @pytest.fixture
@@ -54,7 +59,7 @@
 
 @pytest.fixture
 async def deployment(tmp_path: Any, platform: PlatformStandIn):
-    # Shorter than the long requests, which a stop has to wait for all the same.
+    # A shutdown waits for open requests, even for those that take longer than shutdown_s.
     overrides = {"platform_url": platform.url, "shutdown_s": 1.0}
     prepared = Deployment.prepare(name="pantry", folder=tmp_path, overrides=overrides)
     prepared.start()
@@ -66,15 +71,15 @@
 
 
 @pytest.mark.faults
-async def test_planned_stops_cut_no_request_off(
+async def test_planned_stops_interrupt_no_request(
     deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
 ):
-    """Guards against planned stops that break requests, and new work on an endpoint that left."""
-    truth = Truth()
+    """Guards against planned stops that interrupt requests, and new requests to an endpoint that left."""
+    observed = Observations()
 
     def check_vm(vm: str) -> None:
         busy = [item.name for item in outside.endpoints.values() if item.vm == vm and item.in_progress]
-        truth.cut += [f"{name} busy when {vm} was empty" for name in busy]
+        observed.interrupted += [f"{name} busy when {vm} was empty" for name in busy]
 
     def reboot(vm: str) -> None:
         check_vm(vm)
@@ -84,92 +89,96 @@
         worker.start()
 
     platform.on_reboot = reboot
-    await wait_until(lambda: all_ready(operator, [*WAVE_VMS, *DRAINED]))
+    await wait_until(lambda: all_ready(operator, [*WAVE_VMS, *DRAINED_VMS]))
     key = await operator.grant_key("granite-hearth")
     stop = asyncio.Event()
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     async with aiohttp.ClientSession(connector=connector) as session, asyncio.TaskGroup() as group:
         for number in range(CALLERS):
-            group.create_task(call(deployment, session, truth, stop, key=key, number=number))
+            group.create_task(run_caller(deployment, session, observed, stop, key=key, number=number))
         try:
-            await asyncio.sleep(SLOW_S)
-            left = outside.endpoints["reports@back-office-vm-5"]
-            await left.leave()
-            left_at = time.monotonic()
+            await asyncio.sleep(SLOW_REQUEST_S)
+            departed = outside.endpoints["reports@back-office-vm-5"]
+            await departed.leave()
+            departed_at = time.monotonic()
             wave = (await operator.post("/v1/waves", {"pools": ["pickup"]}))["reference"]
-            for vm in DRAINED:
-                body = {"expected_epoch": await epoch(operator, vm)}
+            for vm in DRAINED_VMS:
+                body = {"expected_epoch": await read_epoch(operator, vm)}
                 await operator.post(f"/v1/vms/{vm}/drain", body)
-            stopping = asyncio.create_task(asyncio.to_thread(deployment.daemons[STOPPED].stop, timeout_s=40))
-            drained = [drain(operator, vm, check_vm) for vm in DRAINED]
-            await asyncio.gather(*drained, rebooted(operator, wave, count=2))
+            stopping = asyncio.create_task(
+                asyncio.to_thread(deployment.daemons[STOPPED_DAEMON].stop, timeout_s=40)
+            )
+            drain_waits = [wait_until_drained(operator, vm, check_vm) for vm in DRAINED_VMS]
+            await asyncio.gather(*drain_waits, wait_until_rebooted(operator, wave, count=2))
             assert await stopping == 0
         finally:
             stop.set()
-            shown = await operator.get(f"/v1/waves/{wave}")
-            sys.stdout.write(f"wave: {shown}\noutcomes: {dict(truth.outcomes)}\n")
-    assert truth.cut == []
+            wave_status = await operator.get(f"/v1/waves/{wave}")
+            sys.stdout.write(f"wave: {wave_status}\noutcomes: {dict(observed.outcomes)}\n")
+    assert observed.interrupted == []
     assert {item.name: item.cut for item in outside.endpoints.values() if item.cut} == {}
-    assert left.received_at - left_at < LAST_NEW_WORK_S
-    assert truth.outcomes["long ok"] > CALLERS / 10
+    assert departed.received_at - departed_at < NEW_WORK_LIMIT_S
+    assert observed.outcomes["long ok"] > CALLERS / 10
 
 
-async def call(deployment, session, truth, stop, *, key, number) -> None:
+async def run_caller(deployment, session, observed, stop, *, key, number) -> None:
     services = [service.name for service in load_example_document("pantry").services]
     daemons = list(deployment.daemons.values())
-    for turn in itertools.count(number):
+    for sequence in itertools.count(number):
         if stop.is_set():
             return
-        long = turn % 10 == 0
-        daemon, service = daemons[turn % len(daemons)], services[turn % len(services)]
-        name = f"{number}-{turn}"
+        is_long = sequence % 10 == 0
+        daemon, service = daemons[sequence % len(daemons)], services[sequence % len(services)]
+        name = f"{number}-{sequence}"
         headers = {
             "Authorization": f"Bearer {key}",
             "Idempotency-Key": name,
-            SECONDS_HEADER: str(LONG_S if long else SLOW_S),
+            SECONDS_HEADER: str(LONG_REQUEST_S if is_long else SLOW_REQUEST_S),
         }
-        if long:
+        if is_long:
             headers["Hyssopway-Timeout"] = str(LONG_TIMEOUT_S)
         try:
             url = f"{daemon.url}/call/{service}/x"
-            async with session.post(url, data=name.encode(), headers=headers) as answer:
-                if answer.status == 200:
-                    assert await answer.read() == name.encode()
-                    truth.outcomes["long ok" if long else "ok"] += 1
+            async with session.post(url, data=name.encode(), headers=headers) as response:
+                if response.status == 200:
+                    assert await response.read() == name.encode()
+                    observed.outcomes["long ok" if is_long else "ok"] += 1
                     continue
-                failure = await answer.json()
-                truth.outcomes[f"{failure['name']} {failure['work']}"] += 1
+                failure = await response.json()
+                observed.outcomes[f"{failure['name']} {failure['work']}"] += 1
                 if failure["work"] != "not_run":
-                    truth.cut.append(f"{name} to {service} through {daemon.name}: {failure['message']}")
+                    observed.interrupted.append(
+                        f"{name} to {service} through {daemon.name}: {failure['message']}"
+                    )
         except aiohttp.ClientConnectorError:
-            truth.outcomes["not connected"] += 1
+            observed.outcomes["not connected"] += 1
         except aiohttp.ClientError as error:
-            truth.cut.append(f"{name} to {service} through {daemon.name}: {error!r}")
+            observed.interrupted.append(f"{name} to {service} through {daemon.name}: {error!r}")
         await asyncio.sleep(0.1)
 
 
-async def vms(operator: OperatorClient) -> dict[str, Any]:
+async def read_vms(operator: OperatorClient) -> dict[str, Any]:
     return {item["vm"]["name"]: item["vm"] for item in (await operator.get("/v1/vms"))["vms"]}
 
 
 async def all_ready(operator: OperatorClient, names: list[str]) -> bool:
-    found = await vms(operator)
+    found = await read_vms(operator)
     return all(name in found and found[name]["state"] == "ready" for name in names)
 
 
-async def epoch(operator: OperatorClient, vm: str) -> int:
-    return int((await vms(operator))[vm]["epoch"])
+async def read_epoch(operator: OperatorClient, vm: str) -> int:
+    return int((await read_vms(operator))[vm]["epoch"])
 
 
-async def drain(operator: OperatorClient, vm: str, check: Any) -> None:
-    async def drained() -> bool:
-        return (await vms(operator))[vm]["state"] == "drained"
+async def wait_until_drained(operator: OperatorClient, vm: str, check_vm: Any) -> None:
+    async def is_drained() -> bool:
+        return (await read_vms(operator))[vm]["state"] == "drained"
 
-    await wait_until(drained, timeout_s=60.0)
-    check(vm)
+    await wait_until(is_drained, timeout_s=60.0)
+    check_vm(vm)
 
 
-async def rebooted(operator: OperatorClient, wave: str, *, count: int) -> None:
+async def wait_until_rebooted(operator: OperatorClient, wave: str, *, count: int) -> None:
     async def reached() -> bool:
         return (await operator.get(f"/v1/waves/{wave}"))["progress"].get("done", 0) >= count
 
--- a/tests/whole/test_races.py
+++ b/tests/whole/test_races.py
@@ -1,4 +1,4 @@
-"""Competing operators, frozen leaders and restarts of all processes."""
+"""Competing operators, suspended leaders and restarts of all processes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
-RACE_S = 10.0
-ANSWER_S = 1.0
-# Longer than the freshness of keys (3 s), worker leases (4 s) and slot credits (2 s).
-FROZEN_S = 6.0
+RACE_DURATION_S = 10.0
+RESPONSE_TIMEOUT_S = 1.0
+# Longer than the validity of confirmed keys (3 s), worker leases (4 s) and slot credits (2 s).
+SUSPENSION_S = 6.0
 MISSED_CHANGES = 300
 
 
-class Racer:
-    """An operator at one entry who promotes with the generation that it read last."""
+class CompetingOperator:
+    """An operator who promotes through one entry VM with the generation read last."""
 
     def __init__(self, *, deployment: Deployment, name: str, digest: str, seed: int) -> None:
         self.deployment = deployment
@@ -39,8 +39,8 @@
         self.headers = {"Authorization": f"Bearer {deployment.operator_token}"}
         self.generation = 1
 
-    async def race(self, *, until: float, history: list[Operation]) -> None:
-        timeout = aiohttp.ClientTimeout(total=ANSWER_S)
+    async def compete(self, *, until: float, history: list[Operation]) -> None:
+        timeout = aiohttp.ClientTimeout(total=RESPONSE_TIMEOUT_S)
         number = 0
         async with aiohttp.ClientSession(timeout=timeout, headers=self.headers) as session:
             while time.monotonic() < until:
@@ -54,7 +54,7 @@
         start = time.monotonic()
         expected = self.generation
         end, result = PENDING, None
-        while end == PENDING and time.monotonic() < until + FROZEN_S:
+        while end == PENDING and time.monotonic() < until + SUSPENSION_S:
             end, result = await self._try_once(session, request_id=request_id, expected=expected)
         history.append(Operation(start=start, end=end, expected=expected, result=result))
         self.generation = result if result is not None and result > 0 else await self._read(session)
@@ -63,25 +63,25 @@
         self, session: aiohttp.ClientSession, *, request_id: str, expected: int
     ) -> tuple[float, int | None]:
         body = {"digest": self.digest, "expected_generation": expected}
-        # A resend goes through another entry, as behind a balancer.
+        # Each attempt goes through a random entry VM, as behind a load balancer.
         url = self.rng.choice([daemon.url for daemon in self.deployment.daemons.values()])
         headers = {"Idempotency-Key": request_id}
         try:
-            async with session.post(f"{url}/v1/documents/production", json=body, headers=headers) as answer:
-                shown = await answer.json()
+            async with session.post(f"{url}/v1/documents/production", json=body, headers=headers) as response:
+                response_body = await response.json()
         except (aiohttp.ClientError, TimeoutError):
             await asyncio.sleep(0.05)
             return PENDING, None
-        if answer.status == 200:
-            return time.monotonic(), int(shown["generation"])
-        if shown["name"] == "GENERATION_CONFLICT":
+        if response.status == 200:
+            return time.monotonic(), int(response_body["generation"])
+        if response_body["name"] == "GENERATION_CONFLICT":
             return time.monotonic(), REFUSED
         return PENDING, None
 
     async def _read(self, session: aiohttp.ClientSession) -> int:
         try:
-            async with session.get(f"{self.url}/v1/documents/production") as answer:
-                return int((await answer.json())["generation"])
+            async with session.get(f"{self.url}/v1/documents/production") as response:
+                return int((await response.json())["generation"])
         except (aiohttp.ClientError, TimeoutError, KeyError):
             return self.generation
 
@@ -91,17 +91,17 @@
 async def test_racing_promotions_are_linearizable(
     deployment: Deployment, operator: OperatorClient, seed: int
 ):
-    """Guards against a generation given twice and a resend that takes effect twice."""
+    """Guards against a generation assigned twice and a retry that takes effect twice."""
     rng = random.Random(seed)
     digest = (await operator.get("/v1/documents/production"))["digest"]
     history: list[Operation] = []
-    until = time.monotonic() + RACE_S
-    racers = [
-        Racer(deployment=deployment, name=name, digest=digest, seed=seed)
+    until = time.monotonic() + RACE_DURATION_S
+    competitors = [
+        CompetingOperator(deployment=deployment, name=name, digest=digest, seed=seed)
         for name in ("nashua-1", "worcester-2", "portland-1")
     ]
 
-    async def disturb() -> None:
+    async def inject_faults() -> None:
         while time.monotonic() < until - 2:
             leader = deployment.daemons[await find_leader(operator)]
             if rng.random() < 0.5:
@@ -114,9 +114,11 @@
                 leader.start()
             await asyncio.sleep(rng.uniform(0.5, 1.0))
 
-    await asyncio.gather(disturb(), *(racer.race(until=until, history=history) for racer in racers))
+    await asyncio.gather(
+        inject_faults(), *(competitor.compete(until=until, history=history) for competitor in competitors)
+    )
     accepted = sorted(operation.result for operation in history if (operation.result or 0) > 0)
-    # Histories of the checker begin at generation 0, the document in force has generation 1.
+    # The linearizability checker begins at generation 0, but the active document has generation 1.
     shifted = [
         Operation(
             start=operation.start,
@@ -134,10 +136,10 @@
 
 
 @pytest.mark.faults
-async def test_leader_that_wakes_up_acts_on_nothing_old(
+async def test_resumed_leader_does_not_act_on_stale_state(
     deployment: Deployment, operator: OperatorClient, outside: Outside, session: aiohttp.ClientSession
 ):
-    """Guards against a leader that was frozen beyond every lease and still trusts its state."""
+    """Guards against a leader that was suspended beyond every lease and still trusts its state."""
     key = await operator.grant_key("casco-bay")
     headers = {"Authorization": f"Bearer {key}"}
     leader = deployment.daemons[await find_leader(operator)]
@@ -148,33 +150,33 @@
         name = {"Idempotency-Key": f"woken-{number}"}
         async with session.post(
             f"{leader.url}/call/van-dispatch/s", data=b"van", headers=headers | name
-        ) as answer:
-            return answer.status
+        ) as response:
+            return response.status
 
     assert await wait_until(lambda: call(0)) in {200, 503}
     leader.send(signal.SIGSTOP)
     try:
-        frozen_at = time.monotonic()
+        suspended_at = time.monotonic()
         await operator.delete(f"/v1/keys/{key.split('_')[1]}")
-        changed_s = time.monotonic() - frozen_at
-        await asyncio.sleep(max(0.0, frozen_at + FROZEN_S - time.monotonic()))
+        withdrawal_s = time.monotonic() - suspended_at
+        await asyncio.sleep(max(0.0, suspended_at + SUSPENSION_S - time.monotonic()))
         waiting = [asyncio.create_task(call(number)) for number in range(1, 9)]
         await asyncio.sleep(0.1)
     finally:
         leader.send(signal.SIGCONT)
-    woken = [*(await asyncio.gather(*waiting)), *[await call(number) for number in range(9, 30)]]
-    assert changed_s < 5.0
-    assert set(woken) <= {403, 503}
+    statuses = [*(await asyncio.gather(*waiting)), *[await call(number) for number in range(9, 30)]]
+    assert withdrawal_s < 5.0
+    assert set(statuses) <= {403, 503}
     seen = {name for endpoint in outside.endpoints.values() for name in endpoint.seen}
     assert not [name for name in seen if name.startswith("woken-") and name != "woken-0"]
     await wait_until(lambda: replicas_converged(deployment, operator))
 
 
 @pytest.mark.faults
-async def test_nothing_is_lost_when_all_processes_are_killed_at_once(
+async def test_acknowledged_changes_survive_kill_of_all_processes(
     deployment: Deployment, operator: OperatorClient
 ):
-    """Guards against acknowledged changes that only some memory held, and an older state after a restart."""
+    """Guards against acknowledged changes that were only in memory, and an older state after a restart."""
     acknowledged: list[str] = []
 
     async def write(writer: int) -> None:
@@ -196,27 +198,27 @@
         daemon.kill()
     await asyncio.gather(*writers)
     deployment.start(initialise=False)
-    await check_confirmed_states(deployment, operator, wanted=set(acknowledged))
+    await wait_for_confirmed_states(deployment, operator, expected_keys=set(acknowledged))
 
 
 @pytest.mark.faults
 @pytest.mark.parametrize("name", ["portland-1", "worcester-2"])
-async def test_daemon_that_missed_hundreds_of_changes_returns(
+async def test_restarted_daemon_catches_up_on_hundreds_of_changes(
     deployment: Deployment, operator: OperatorClient, name: str
 ):
-    """Guards against a restarted member or follower that calls an older state confirmed."""
+    """Guards against a restarted member or follower that reports an older state as confirmed."""
     await operator.grant_key("casco-bay")
     daemon = deployment.daemons[name]
     daemon.kill()
     keys = [await operator.grant_key("casco-bay") for _ in range(MISSED_CHANGES)]
     daemon.start()
-    await check_confirmed_states(deployment, operator, wanted={key.split("_")[1] for key in keys})
+    await wait_for_confirmed_states(deployment, operator, expected_keys={key.split("_")[1] for key in keys})
 
 
-async def check_confirmed_states(
-    deployment: Deployment, operator: OperatorClient, *, wanted: set[str]
+async def wait_for_confirmed_states(
+    deployment: Deployment, operator: OperatorClient, *, expected_keys: set[str]
 ) -> None:
-    """Checks from the first answer of each daemon on that a confirmed state holds all wanted keys."""
+    """Waits until the replicas converge; every confirmed state seen until then must hold the expected keys."""
     seen = dict.fromkeys(deployment.daemons, 0)
 
     async def check() -> bool:
@@ -226,7 +228,7 @@
             return False
         for dump in found:
             if has_fresh_state(dump):
-                assert wanted <= set(dump["agreed_state"]["keys"]), dump["daemon"]
+                assert expected_keys <= set(dump["agreed_state"]["keys"]), dump["daemon"]
             index = dump["agreed_state"]["applied_index"]
             assert index >= seen[dump["daemon"]], dump["daemon"]
             seen[dump["daemon"]] = index
--- a/tests/whole/test_requests_under_faults.py
+++ b/tests/whole/test_requests_under_faults.py
@@ -1,4 +1,4 @@
-"""Requests in a burst while entries and endpoints are killed, frozen and cut."""
+"""A burst of requests while entry daemons and endpoints are killed, suspended and stopped."""
 
 from __future__ import annotations
 
@@ -20,47 +20,60 @@
 
 SEED = 20
 PLAIN_REQUESTS = 2500
-ONCE_KEYS = 150
-RESENDS = 4
-AT_ONCE = 120
+NON_IDEMPOTENT_KEYS = 150
+SENDS_PER_KEY = 4
+CONCURRENCY = 120
 
 
 @dataclass(slots=True)
-class Truth:
-    """What callers were told."""
+class Observations:
+    """What callers were told.
+
+    Attributes:
+        outcomes: Number of requests by outcome.
+        not_run: Requests that were reported as not run.
+        corrupted: Requests whose response differs from their body.
+        succeeded: Requests with a successful response.
+    """
 
     outcomes: Counter[str] = field(default_factory=Counter)
     not_run: set[str] = field(default_factory=set)
-    wrong: list[str] = field(default_factory=list)
-    answered: set[str] = field(default_factory=set)
+    corrupted: list[str] = field(default_factory=list)
+    succeeded: set[str] = field(default_factory=set)
 
 
 @pytest.mark.faults
-async def test_promises_hold_in_a_burst_with_faults(
+async def test_guarantees_hold_in_a_burst_with_faults(
     deployment: Deployment, outside: Outside, operator: OperatorClient
 ):
-    """Guards against exceeded slots, second runs, false "not run" and damaged answers."""
+    """Guards against exceeded slots, repeated execution, false "not run" and corrupted responses."""
     rng = random.Random(SEED)
     key = await operator.grant_key("casco-bay")
     await asyncio.sleep(2.5)  # slow start of the endpoints
     for endpoint in outside.endpoints.values():
-        endpoint.service_s = 0.1  # so that the slots are all in use
+        endpoint.service_s = 0.1  # long enough that all slots are in use
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    truth = Truth()
-    gate = asyncio.Semaphore(AT_ONCE)
+    observed = Observations()
+    semaphore = asyncio.Semaphore(CONCURRENCY)
     timeout = aiohttp.ClientTimeout(total=15)
     async with aiohttp.ClientSession(timeout=timeout, connector=aiohttp.TCPConnector(limit=0)) as session:
         calls = [
-            _send(session, gate, truth, url=f"{rng.choice(urls)}/call/pickup-schedule/p", name=f"plain-{n}")
+            _send(
+                session,
+                semaphore,
+                observed,
+                url=f"{rng.choice(urls)}/call/pickup-schedule/p",
+                name=f"plain-{n}",
+            )
             for n in range(PLAIN_REQUESTS)
         ]
-        names = [f"once-{n}" for n in range(ONCE_KEYS)] * RESENDS
+        names = [f"once-{n}" for n in range(NON_IDEMPOTENT_KEYS)] * SENDS_PER_KEY
         headers = {"Authorization": f"Bearer {key}"}
         calls += [
             _send(
                 session,
-                gate,
-                truth,
+                semaphore,
+                observed,
                 url=f"{rng.choice(urls)}/call/van-dispatch/s",
                 name=name,
                 headers=headers,
@@ -69,37 +82,37 @@
         ]
         rng.shuffle(calls)
         async with asyncio.TaskGroup() as group:
-            group.create_task(_make_faults(deployment, outside))
+            group.create_task(_inject_faults(deployment, outside))
             for call in calls:
                 group.create_task(call)
-    _check(truth, outside=outside)
+    _check(observed, outside=outside)
 
 
-async def _send(session, gate, truth, *, url, name, headers=None) -> None:
+async def _send(session, semaphore, observed, *, url, name, headers=None) -> None:
     body = f"{name} ".encode() * (1 + len(name) * 40)
-    async with gate:
-        # Spreads the requests over the faults.
+    async with semaphore:
+        # Spreads the requests over the time of the faults.
         await asyncio.sleep(0.2)
         try:
             headers = {"Idempotency-Key": name, "Hyssopway-Timeout": "5", **(headers or {})}
-            async with session.post(url, data=body, headers=headers) as answer:
-                content = await answer.read()
-                if answer.status == 200:
-                    truth.outcomes["ok"] += 1
-                    truth.answered.add(name)
+            async with session.post(url, data=body, headers=headers) as response:
+                content = await response.read()
+                if response.status == 200:
+                    observed.outcomes["ok"] += 1
+                    observed.succeeded.add(name)
                     if content != body:
-                        truth.wrong.append(name)
+                        observed.corrupted.append(name)
                     return
-                failure = await answer.json()
+                failure = await response.json()
         except (aiohttp.ClientError, TimeoutError) as error:
-            truth.outcomes[type(error).__name__] += 1
+            observed.outcomes[type(error).__name__] += 1
             return
-    truth.outcomes[f"{failure['name']} {failure['work']}"] += 1
+    observed.outcomes[f"{failure['name']} {failure['work']}"] += 1
     if failure["work"] == "not_run":
-        truth.not_run.add(name)
+        observed.not_run.add(name)
 
 
-async def _make_faults(deployment: Deployment, outside: Outside) -> None:
+async def _inject_faults(deployment: Deployment, outside: Outside) -> None:
     endpoints = [item for item in outside.endpoints.values() if item.service == "pickup-schedule"]
     await asyncio.sleep(0.7)
     deployment.daemons["nashua-1"].kill()  # home of all endpoints of its zone
@@ -112,14 +125,14 @@
     deployment.daemons["worcester-1"].send(signal.SIGCONT)
 
 
-def _check(truth: Truth, *, outside: Outside) -> None:
-    sys.stdout.write(f"outcomes: {dict(truth.outcomes)}\n")
+def _check(observed: Observations, *, outside: Outside) -> None:
+    sys.stdout.write(f"outcomes: {dict(observed.outcomes)}\n")
     seen: Counter[str] = Counter()
     for endpoint in outside.endpoints.values():
         assert endpoint.most_in_progress <= endpoint.slots, endpoint.name
         seen += endpoint.seen
-    assert not truth.wrong
+    assert not observed.corrupted
     assert max(count for name, count in seen.items() if name.startswith("once-")) == 1
-    assert [name for name in truth.not_run if name.startswith("plain-") and seen[name]] == []
-    assert [name for name in truth.answered if not seen[name]] == []
-    assert truth.outcomes["ok"] > (PLAIN_REQUESTS + ONCE_KEYS) / 2
+    assert [name for name in observed.not_run if name.startswith("plain-") and seen[name]] == []
+    assert [name for name in observed.succeeded if not seen[name]] == []
+    assert observed.outcomes["ok"] > (PLAIN_REQUESTS + NON_IDEMPOTENT_KEYS) / 2
--- a/tests/whole/test_stopped_process.py
+++ b/tests/whole/test_suspended_process.py
@@ -1,4 +1,4 @@
-"""Processes that are stopped and go on."""
+"""Processes that are suspended and resumed."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 @pytest.mark.parametrize("name", ["worcester-2", "portland-1"])
-async def test_withdrawn_key_is_refused_by_a_process_that_was_stopped(
+async def test_withdrawn_key_is_refused_by_a_resumed_process(
     deployment: Deployment,
     outside: Outside,
     operator: OperatorClient,
     session: aiohttp.ClientSession,
     name: str,
 ):
-    """Guards against a follower or member that resumes and still trusts the state from before."""
+    """Guards against a resumed follower or member that still trusts its state from before the suspension."""
     key = await operator.grant_key("casco-bay")
     daemon = deployment.daemons[name]
     url = f"{daemon.url}/call/van-dispatch/send"
@@ -36,8 +36,8 @@
     headers = {"Authorization": f"Bearer {key}", "Idempotency-Key": f"van-{name}"}
 
     async def call() -> int:
-        async with session.post(url, data=b"van", headers=headers) as answer:
-            return answer.status
+        async with session.post(url, data=b"van", headers=headers) as response:
+            return response.status
 
     calls = [asyncio.create_task(call()) for _ in range(5)]
     await asyncio.sleep(0.1)
--- a/tests/whole/test_wave.py
+++ b/tests/whole/test_wave.py
@@ -1,4 +1,4 @@
-"""A wave through real processes with a failing platform; truth is counted at platform and workers."""
+"""Maintenance waves through real processes with a failing platform, checked at the platform and workers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     from hyssopway_standins.outside import Outside
 
 VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
-RUN_S = 90.0
+TIMEOUT_S = 90.0
 
 
 @pytest.fixture
@@ -52,17 +52,17 @@
     operator: OperatorClient,
     session: aiohttp.ClientSession,
 ):
-    """Guards against reboots made twice, tasks that reboots cut off, and more VMs down than allowed."""
-    cut: list[str] = []
-    down: list[Counter[str]] = []
+    """Guards against repeated reboots, tasks interrupted by reboots, and more VMs down than allowed."""
+    interrupted_tasks: list[str] = []
+    down_counts: list[Counter[str]] = []
 
     def reboot(vm: str) -> None:
         worker = outside.workers[vm]
-        cut.extend(worker.tasks)
+        interrupted_tasks.extend(worker.tasks)
         worker.stop()
         worker.boot_id = secrets.token_hex(4)
         worker.start()
-        down.append(Counter("pickup" for truth in platform.vms.values() if truth.state != "serving"))
+        down_counts.append(Counter("pickup" for truth in platform.vms.values() if truth.state != "serving"))
 
     platform.on_reboot = reboot
     platform.faults = {
@@ -78,12 +78,12 @@
             key=key,
             pools=("pickup",),
             accepted=[],
-            for_s=RUN_S,
+            for_s=TIMEOUT_S,
         )
     )
-    await wait_until(lambda: registered(operator), timeout_s=RUN_S)
+    await wait_until(lambda: all_registered(operator), timeout_s=TIMEOUT_S)
     wave = (await operator.post("/v1/waves", {"pools": ["pickup"]}))["reference"]
-    await wait_until(lambda: done_at_least(operator, wave, 2), timeout_s=RUN_S)
+    await wait_until(lambda: has_done_at_least(operator, wave, 2), timeout_s=TIMEOUT_S)
     leader = next(
         daemon["leader"] for daemon in (await operator.get("/v1/status"))["daemons"] if daemon.get("leader")
     )
@@ -91,14 +91,14 @@
     if leader == "nashua-1":
         operator.url = deployment.daemons["nashua-2"].url
     try:
-        shown = await wait_until(lambda: ended(operator, wave), timeout_s=RUN_S)
+        wave_status = await wait_until(lambda: read_ended_wave(operator, wave), timeout_s=TIMEOUT_S)
     finally:
         jobs.cancel()
-    assert shown["status"] == "done", shown
+    assert wave_status["status"] == "done", wave_status
     reboots = {vm: truth.done[f"{wave}-{vm}-reboot"] for vm, truth in platform.vms.items()}
     assert reboots == dict.fromkeys(VMS, 1)
-    assert cut == []
-    assert max(counter["pickup"] for counter in down) <= 2
+    assert interrupted_tasks == []
+    assert max(counter["pickup"] for counter in down_counts) <= 2
     states = {
         item["vm"]["name"]: item["vm"]["state"]
         for item in (await operator.get("/v1/vms"))["vms"]
@@ -109,10 +109,10 @@
 
 
 @pytest.mark.faults
-async def test_canary_that_fails_everything_after_its_reboot_pauses_the_wave(
+async def test_canary_that_fails_all_jobs_after_its_reboot_pauses_the_wave(
     deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
 ):
-    """Guards against a wave that goes on because the platform calls a VM healthy that fails its work."""
+    """Guards against a wave that continues because the platform reports a VM as healthy whose jobs fail."""
     rebooted: list[str] = []
 
     def reboot(vm: str) -> None:
@@ -133,36 +133,36 @@
             key=key,
             pools=("pickup",),
             accepted=accepted,
-            for_s=RUN_S,
+            for_s=TIMEOUT_S,
         )
     )
     try:
-        await wait_until(lambda: registered(operator), timeout_s=RUN_S)
+        await wait_until(lambda: all_registered(operator), timeout_s=TIMEOUT_S)
         wave = (await operator.post("/v1/waves", {"pools": ["pickup"]}))["reference"]
-        shown = await wait_until(lambda: ended(operator, wave), timeout_s=RUN_S)
-        assert (shown["status"], shown["reason"]) == (
+        wave_status = await wait_until(lambda: read_ended_wave(operator, wave), timeout_s=TIMEOUT_S)
+        assert (wave_status["status"], wave_status["reason"]) == (
             "paused",
             f"canary {rebooted[0]} fails after its reboot",
         )
-        assert await state_of(operator, rebooted[0]) == "quarantined"
+        assert await read_vm_state(operator, rebooted[0]) == "quarantined"
         outside.workers[rebooted[0]].choose_outcome = lambda _: RunOutcome.DONE
-        await operator.post(f"/v1/waves/{wave}/resume", {"expected_epoch": shown["epoch"]})
-        shown = await wait_until(lambda: ended(operator, wave), timeout_s=RUN_S)
-        await wait_until(lambda: is_ready(operator, rebooted[0]), timeout_s=RUN_S)
+        await operator.post(f"/v1/waves/{wave}/resume", {"expected_epoch": wave_status["epoch"]})
+        wave_status = await wait_until(lambda: read_ended_wave(operator, wave), timeout_s=TIMEOUT_S)
+        await wait_until(lambda: is_ready(operator, rebooted[0]), timeout_s=TIMEOUT_S)
     finally:
         jobs.cancel()
-    assert shown["status"] == "done", shown
+    assert wave_status["status"] == "done", wave_status
     assert sorted(rebooted) == VMS
-    await wait_until(lambda: all_done(operator, accepted), timeout_s=RUN_S)
+    await wait_until(lambda: all_done(operator, accepted), timeout_s=TIMEOUT_S)
 
 
-async def state_of(operator: OperatorClient, name: str) -> str:
+async def read_vm_state(operator: OperatorClient, name: str) -> str:
     vms = (await operator.get("/v1/vms"))["vms"]
     return next(item["vm"]["state"] for item in vms if item["vm"]["name"] == name)
 
 
 async def is_ready(operator: OperatorClient, name: str) -> bool:
-    return await state_of(operator, name) == "ready"
+    return await read_vm_state(operator, name) == "ready"
 
 
 async def all_done(operator: OperatorClient, accepted: list[str]) -> bool:
@@ -170,15 +170,15 @@
     return all(job["status"] == "done" for job in jobs)
 
 
-async def registered(operator: OperatorClient) -> bool:
+async def all_registered(operator: OperatorClient) -> bool:
     vms = (await operator.get("/v1/vms"))["vms"]
     return sum(item["vm"]["pool"] == "pickup" for item in vms) == len(VMS)
 
 
-async def done_at_least(operator: OperatorClient, wave: str, count: int) -> bool:
+async def has_done_at_least(operator: OperatorClient, wave: str, count: int) -> bool:
     return (await operator.get(f"/v1/waves/{wave}"))["progress"].get("done", 0) >= count
 
 
-async def ended(operator: OperatorClient, wave: str) -> Any:
-    shown = await operator.get(f"/v1/waves/{wave}")
-    return shown if shown["status"] != "running" else None
+async def read_ended_wave(operator: OperatorClient, wave: str) -> Any:
+    wave_status = await operator.get(f"/v1/waves/{wave}")
+    return wave_status if wave_status["status"] != "running" else None
