--- a/src/hyssopway/fleet/zone_report.py
+++ b/src/hyssopway/fleet/zone_report.py
@@ -1,4 +1,4 @@
-"""Says what the withdrawal of a zone would do, or how far it is."""
+"""Report on the effects or the progress of a zone withdrawal."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 def report_zone(state: ControlState, *, zone: str) -> dict[str, Any]:
-    """Returns what a withdrawal costs; changes nothing."""
+    """Returns the effects of withdrawing a zone, without changing anything."""
     document = state.document()
-    known = state.tables.zones[zone]
+    record = state.tables.zones[zone]
     vms = [vm for vm in state.tables.vms.values() if vm.zone == zone]
     pools = {vm.pool for vm in vms}
-    missing = count_missing(state, zone=known)
+    missing = count_missing(state, zone=record)
     return {
-        "zone": known,
+        "zone": record,
         "vms": Counter(vm.state.value for vm in vms),
         "budgets": [_report_pool(state, document=document, pool=pool, vms=vms) for pool in sorted(pools)]
         if document
--- a/tests/dispatch/test_machine_inventory.py
+++ b/tests/dispatch/test_machine_inventory.py
@@ -1,4 +1,4 @@
-"""Orders about machines of two leaders, one after the other."""
+"""Orders of two consecutive leaders for the same machines."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from hyssopway.workflow import RecordMachineOrders
 
 
-class FakeMachines:
+class FakePlatform:
     """Lists two machines."""
 
     def __init__(self):
@@ -30,7 +30,7 @@
     await leadership.propose(RecordMachineOrders(machines=("m2",), at_ms=wall_ms() - 60_000))
     built = MachineInventory(
         leadership=leadership,
-        calls=FakeMachines(),
+        calls=FakePlatform(),
         machine_lease_s=LIMITS.machine_lease_s,
         min_down_s=LIMITS.move_s,
     )
@@ -38,8 +38,11 @@
     return built
 
 
-def test_machine_that_a_former_leader_ordered_is_left_alone(machines, leadership):
-    """Guards against two leaders that order one machine within a turn: its last order was a move ago at least."""
+def test_machine_ordered_by_a_former_leader_is_not_available_at_once(machines, leadership):
+    """Guards against orders of two leaders for one machine within the machine lease.
+
+    The machine is up, so its last order is at least the duration of a move ago.
+    """
     assert [machines.is_available(name) for name in ("m1", "m2")] == [False, True]
     leadership.now += LIMITS.machine_lease_s - LIMITS.move_s - 0.1
     assert not machines.is_available("m1")
@@ -47,10 +50,10 @@
     assert machines.is_available("m1")
 
 
-async def test_machine_that_is_not_up_waits_a_whole_turn(leadership):
-    """Guards against counting the turn from an order that may have come just before the term."""
+async def test_machine_that_is_not_up_waits_for_the_whole_machine_lease(leadership):
+    """Guards against a lease that is counted too early: the last order may have come just before the term started."""
     await leadership.propose(RecordMachineOrders(machines=("m1",), at_ms=wall_ms() - 1000))
-    calls = FakeMachines()
+    calls = FakePlatform()
     calls.states["m1"] = MachineState.MOVING
     built = MachineInventory(
         leadership=leadership, calls=calls, machine_lease_s=LIMITS.machine_lease_s, min_down_s=LIMITS.move_s
@@ -62,8 +65,11 @@
     assert built.may_order("m1")
 
 
-async def test_order_that_was_on_its_way_for_long_makes_the_turn_whole(machines, leadership):
-    """Guards against an order right after one of a former leader that the first list did not show."""
+async def test_delayed_order_of_a_former_leader_keeps_the_whole_machine_lease(machines, leadership):
+    """Guards against an order right after one of a former leader that took long to arrive.
+
+    The first list of the new leader still shows the machine up, and a later one shows it moving.
+    """
     machines.calls.states["m1"] = MachineState.MOVING
     leadership.now += 1.1
     await machines.refresh(max_age_s=1.0)
@@ -71,16 +77,16 @@
     assert not machines.may_order("m1")
 
 
-async def test_turn_is_not_counted_anew_with_each_list(machines, leadership):
-    """Guards against a machine that no leader may order for as long as it is listed."""
+async def test_machine_lease_does_not_restart_with_each_list(machines, leadership):
+    """Guards against a machine that the leader may never order because each list extends its lease."""
     leadership.now += LIMITS.machine_lease_s - LIMITS.move_s + 0.1
     await machines.refresh(max_age_s=0.0)
     assert machines.is_available("m1")
 
 
-async def test_machine_is_away_until_a_list_shows_it_up(machines, leadership):
-    """Guards against a second order for a machine that is on its way."""
-    machines.note_order("m2", duration_s=2.0)
+async def test_ordered_machine_is_unavailable_until_a_list_shows_it_up(machines, leadership):
+    """Guards against a second order for a machine that is still moving."""
+    machines.record_order("m2", duration_s=2.0)
     await machines.refresh(max_age_s=0.0)
     assert not machines.is_available("m2")
     leadership.now += 2.5
