--- a/src/hyssopway/cli/__init__.py
+++ b/src/hyssopway/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of operators and teams."""
+"""The `hyssopway` command line for operators and teams."""
--- a/src/hyssopway/cli/access.py
+++ b/src/hyssopway/cli/access.py
@@ -1,4 +1,4 @@
-"""Connections for the commands."""
+"""Clients with the access rights of operators or of a team."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 if TYPE_CHECKING:
     import typer
 
-    from .connection import Connection
-    from .target import Target
+    from .api_client import ApiClient
+    from .client_options import ClientOptions
 
 
-def operator_connection(context: typer.Context) -> Connection:
-    """Returns a connection that presents the operators' token."""
-    target: Target = context.obj
-    return target.as_operator()
+def operator_client(context: typer.Context) -> ApiClient:
+    """Returns a client that authenticates with the operators' token."""
+    options: ClientOptions = context.obj
+    return options.operator_client()
 
 
-def team_connection(context: typer.Context) -> Connection:
-    """Returns a connection that presents a team's key."""
-    target: Target = context.obj
-    return target.as_team()
+def team_client(context: typer.Context) -> ApiClient:
+    """Returns a client that authenticates with a team's key."""
+    options: ClientOptions = context.obj
+    return options.team_client()
 
 
-__all__ = ["operator_connection", "team_connection"]
+__all__ = ["operator_client", "team_client"]
--- a/src/hyssopway/cli/target.py
+++ b/src/hyssopway/cli/client_options.py
@@ -1,4 +1,4 @@
-"""Which deployment a command talks to."""
+"""Options that select the deployment and the credentials of a command."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from .connection import Connection
+    from .api_client import ApiClient
 
-_FIELDS = ("entries", "token", "key", "operator", "authority", "timeout_s")
+_PROFILE_FIELDS = ("entries", "token", "key", "operator", "authority", "timeout_s")
 
 
 @dataclass(slots=True, kw_only=True)
-class Target:
-    """Entry VMs and secrets from options, the environment and a profile file.
+class ClientOptions:
+    """Connection options, merged from the command line, the environment and a profile file.
 
     Attributes:
         entries: Base URLs of entry VMs.
-        token: Token of the operators.
-        key: Key of a team.
-        operator: Name that changes are recorded under.
-        authority: File with the certificates that entry VMs must be signed by.
-        timeout_s: Seconds that one entry VM gets.
+        token: Operators' token.
+        key: Team's key.
+        operator: Operator name that the server records with changes.
+        authority: PEM file with the CA certificates that verify entry VMs; system CAs if None.
+        timeout_s: Timeout for one entry VM, in seconds.
     """
 
     entries: list[str]
@@ -36,24 +36,24 @@
     authority: str | None = None
     timeout_s: float = 10.0
 
-    def as_operator(self) -> Connection:
-        """Returns a connection that presents the operators' token."""
-        return self._connect(secret=self.token, missing="--token, HYSSOPWAY_TOKEN or `token`")
+    def operator_client(self) -> ApiClient:
+        """Returns a client that authenticates with the operators' token."""
+        return self._create_client(secret=self.token, accepted_sources="--token, HYSSOPWAY_TOKEN or `token`")
 
-    def as_team(self) -> Connection:
-        """Returns a connection that presents a team's key."""
-        return self._connect(secret=self.key, missing="--key, HYSSOPWAY_KEY or `key`")
+    def team_client(self) -> ApiClient:
+        """Returns a client that authenticates with a team's key."""
+        return self._create_client(secret=self.key, accepted_sources="--key, HYSSOPWAY_KEY or `key`")
 
-    def _connect(self, *, secret: str, missing: str) -> Connection:
+    def _create_client(self, *, secret: str, accepted_sources: str) -> ApiClient:
         if not self.entries:
-            message = "name entry VMs by --entry, HYSSOPWAY_ENTRIES or `entries` in the profile file"
+            message = "no entry VM given; set --entry, HYSSOPWAY_ENTRIES or `entries` in the profile file"
             raise CommandError(status=ExitStatus.USAGE, message=message)
         if not secret:
-            message = f"this command needs {missing} in the profile file"
+            message = f"this command needs {accepted_sources} in the profile file"
             raise CommandError(status=ExitStatus.USAGE, message=message)
-        from .connection import Connection
+        from .api_client import ApiClient
 
-        return Connection(
+        return ApiClient(
             entries=self.entries,
             secret=secret,
             operator=self.operator,
@@ -66,29 +66,29 @@
     """Reads a profile file.
 
     Raises:
-        CommandError: The file cannot be used; the message names every problem.
+        CommandError: The file is unreadable or invalid; the message lists every problem.
     """
     import yaml
 
     try:
         data = yaml.safe_load(path.read_text(encoding="utf-8")) or {}
     except (OSError, ValueError, yaml.YAMLError) as error:
-        found = " ".join(str(error).split())
-        raise CommandError(status=ExitStatus.BAD_FILE, message=f"{path}: {found}") from error
-    problems = list(_find_problems(data))
+        reason = " ".join(str(error).split())
+        raise CommandError(status=ExitStatus.BAD_FILE, message=f"{path}: {reason}") from error
+    problems = list(_validate_profile(data))
     if problems:
         message = "\n".join(f"{path}: {problem}" for problem in problems)
         raise CommandError(status=ExitStatus.BAD_FILE, message=message)
     return dict(data)
 
 
-def _find_problems(data: Any) -> list[str]:
+def _validate_profile(data: Any) -> list[str]:
     if not isinstance(data, dict):
-        return [f"(top): found {data!r}; allowed: a mapping of {', '.join(_FIELDS)}"]
+        return [f"(top): found {data!r}; allowed: a mapping of {', '.join(_PROFILE_FIELDS)}"]
     problems = [
-        f"{name}: found an unknown field; allowed: {', '.join(_FIELDS)}"
+        f"{name}: found an unknown field; allowed: {', '.join(_PROFILE_FIELDS)}"
         for name in data
-        if name not in _FIELDS
+        if name not in _PROFILE_FIELDS
     ]
     entries = data.get("entries", [])
     if not isinstance(entries, list) or not all(_is_url(entry) for entry in entries):
@@ -108,4 +108,4 @@
     return isinstance(entry, str) and entry.startswith(("http://", "https://"))
 
 
-__all__ = ["Target", "load_profile"]
+__all__ = ["ClientOptions", "load_profile"]
--- a/src/hyssopway/cli/command_error.py
+++ b/src/hyssopway/cli/command_error.py
@@ -1,4 +1,4 @@
-"""Failure of a command."""
+"""Error that ends a command."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class CommandError(Exception):
-    """Ends a command with a message on standard error.
+    """Error that ends a command with an exit status and a message on standard error.
 
     Attributes:
-        status: Exit status.
-        message: What went wrong.
+        status: Exit status of the process.
+        message: Text printed on standard error.
     """
 
     def __init__(self, *, status: ExitStatus, message: str) -> None:
--- a/src/hyssopway/cli/document_commands.py
+++ b/src/hyssopway/cli/document_commands.py
@@ -1,4 +1,4 @@
-"""Commands about environment documents."""
+"""Commands that validate, promote and compare environment documents."""
 
 import difflib
 import hashlib
@@ -7,25 +7,27 @@
 
 import typer
 
-from .access import operator_connection
-from .checking import check_file
+from .access import operator_client
 from .command_error import CommandError
 from .exit_status import ExitStatus
-from .options import Json, RequestId, Wait, WaitSeconds
-from .output import format_time, write_json, write_line, write_note, write_table
+from .file_validation import validate_file
+from .options import Json, RequestId, Wait, WaitTimeout
+from .output import format_time, write_diagnostic, write_json, write_line, write_table
 from .route_path import route_path
-from .waiting import wait_in_force
+from .waiting import wait_until_active
 
 if TYPE_CHECKING:
-    from .connection import Connection
+    from .api_client import ApiClient
 
-DIGEST_CHARACTERS = 64
+DIGEST_LENGTH = 64
 
-Environment = Annotated[str, typer.Option("--environment", "-e", help="trial or production.")]
-Expect = Annotated[
+Environment = Annotated[str, typer.Option("--environment", "-e", help="Environment: trial or production.")]
+ExpectedGeneration = Annotated[
     int | None,
     typer.Option(
-        "--expect", metavar="GENERATION", help="Refuse unless this generation is in force; read by default."
+        "--expect",
+        metavar="GENERATION",
+        help="Refuse unless this generation is active; the current one by default.",
     ),
 ]
 
@@ -33,11 +35,11 @@
 def check(
     files: Annotated[list[Path], typer.Argument(metavar="FILE...", help="Documents or daemon settings.")],
     kind: Annotated[
-        str, typer.Option("--kind", help="document or settings; found from the content by default.")
+        str, typer.Option("--kind", help="document or settings; detected from the content by default.")
     ] = "",
     as_json: Json = False,
 ) -> None:
-    """Check documents and settings files without a server.
+    """Validate documents and settings files locally, without a server.
 
     Example: hyssopway check document.yaml settings/nashua-1.yaml
     """
@@ -45,13 +47,13 @@
         raise CommandError(
             status=ExitStatus.USAGE, message=f"--kind is {kind!r}; allowed: document, settings"
         )
-    found = [problem for file in files for problem in check_file(file, kind=kind)]
+    problems = [problem for file in files for problem in validate_file(file, kind=kind)]
     if as_json:
-        write_json({"problems": found})
-    for problem in found if not as_json else []:
-        write_note("{file}: {path}: found {found}; allowed: {allowed}".format_map(problem))
-    if found:
-        message = f"{len(found)} problem{'s' if len(found) > 1 else ''} found"
+        write_json({"problems": problems})
+    for problem in problems if not as_json else []:
+        write_diagnostic("{file}: {path}: found {found}; allowed: {allowed}".format_map(problem))
+    if problems:
+        message = f"{len(problems)} problem{'s' if len(problems) > 1 else ''} found"
         raise CommandError(status=ExitStatus.BAD_FILE, message=message)
     if not as_json:
         write_line(f"{len(files)} file{'s' if len(files) > 1 else ''} checked, no problems")
@@ -60,57 +62,63 @@
 def trial(
     context: typer.Context,
     file: Annotated[Path, typer.Argument(metavar="FILE", help="The document.")],
-    expect: Expect = None,
+    expect: ExpectedGeneration = None,
     request_id: RequestId = "",
     wait: Wait = False,
-    wait_timeout: WaitSeconds = 16,
+    wait_timeout: WaitTimeout = 16,
 ) -> None:
-    """Put a document into the trial environment.
+    """Activate a document in the trial environment.
 
     Example: hyssopway trial document.yaml
     """
-    connection = operator_connection(context)
+    client = operator_client(context)
     text = _read_text(file)
-    generation = _read_generation(connection, environment="trial") if expect is None else expect
+    generation = _read_generation(client, environment="trial") if expect is None else expect
     body = {"text": text, "expected_generation": generation}
-    outcome = connection.change(
-        "POST", "/v1/documents/trial", body, request_id=request_id, resend=f"--expect {generation}"
+    outcome = client.change(
+        "POST", "/v1/documents/trial", body, request_id=request_id, retry_options=f"--expect {generation}"
     )
     write_line(f"trial generation {outcome['generation']}, digest {outcome['reference']}")
     if wait:
-        wait_in_force(connection, index=outcome["index"], timeout_s=wait_timeout)
+        wait_until_active(client, index=outcome["index"], timeout_s=wait_timeout)
 
 
 def promote(
     context: typer.Context,
-    document: Annotated[str, typer.Argument(metavar="DIGEST|FILE", help="Digest, its start, or the file.")],
-    expect: Expect = None,
+    document: Annotated[
+        str, typer.Argument(metavar="DIGEST|FILE", help="Digest, prefix of a digest, or the file.")
+    ],
+    expect: ExpectedGeneration = None,
     request_id: RequestId = "",
     wait: Wait = False,
-    wait_timeout: WaitSeconds = 16,
+    wait_timeout: WaitTimeout = 16,
 ) -> None:
-    """Promote a tried document to production.
+    """Promote a document from trial to production.
 
     Example: hyssopway promote document.yaml --wait
     """
-    connection = operator_connection(context)
-    digest = _find_digest(connection, document)
-    generation = _read_generation(connection, environment="production") if expect is None else expect
+    client = operator_client(context)
+    digest = _resolve_digest(client, document)
+    generation = _read_generation(client, environment="production") if expect is None else expect
     body = {"digest": digest, "expected_generation": generation}
-    outcome = connection.change(
-        "POST", "/v1/documents/production", body, request_id=request_id, resend=f"--expect {generation}"
+    outcome = client.change(
+        "POST",
+        "/v1/documents/production",
+        body,
+        request_id=request_id,
+        retry_options=f"--expect {generation}",
     )
     write_line(f"production generation {outcome['generation']}, digest {outcome['reference']}")
     if wait:
-        wait_in_force(connection, index=outcome["index"], timeout_s=wait_timeout)
+        wait_until_active(client, index=outcome["index"], timeout_s=wait_timeout)
 
 
 def history(context: typer.Context, environment: Environment = "production", as_json: Json = False) -> None:
-    """List the documents of an environment, the latest first.
+    """List the documents of an environment, newest first.
 
     Example: hyssopway history --environment trial
     """
-    data = operator_connection(context).read(route_path("documents", environment, "history"))
+    data = operator_client(context).read(route_path("documents", environment, "history"))
     if as_json:
         write_json(data)
         return
@@ -124,19 +132,20 @@
 def diff(
     context: typer.Context,
     file: Annotated[
-        Path | None, typer.Argument(metavar="FILE", help="New document; the trial document by default.")
+        Path | None,
+        typer.Argument(metavar="FILE", help="New document; the active trial document by default."),
     ] = None,
     environment: Environment = "production",
     as_json: Json = False,
 ) -> None:
-    """Show how a document differs from the one in force.
+    """Show how a document differs from the active one.
 
     Example: hyssopway diff document.yaml
     """
-    connection = operator_connection(context)
-    old = _read_stored(connection, environment=environment)
+    client = operator_client(context)
+    old = _read_active_text(client, environment=environment)
     if file is None:
-        new, name = _read_stored(connection, environment="trial"), "trial"
+        new, name = _read_active_text(client, environment="trial"), "trial"
     else:
         new, name = _read_text(file), str(file)
     lines = difflib.unified_diff(
@@ -156,33 +165,35 @@
         raise CommandError(status=ExitStatus.BAD_FILE, message=f"{file}: {error}") from error
 
 
-def _read_documents(connection: "Connection", *, environment: str) -> list[dict[str, Any]]:
-    documents: list[dict[str, Any]] = connection.read(route_path("documents", environment, "history"))[
+def _read_documents(client: "ApiClient", *, environment: str) -> list[dict[str, Any]]:
+    documents: list[dict[str, Any]] = client.read(route_path("documents", environment, "history"))[
         "documents"
     ]
     return documents
 
 
-def _read_generation(connection: "Connection", *, environment: str) -> int:
-    documents = _read_documents(connection, environment=environment)
+def _read_generation(client: "ApiClient", *, environment: str) -> int:
+    documents = _read_documents(client, environment=environment)
     return int(documents[0]["generation"]) if documents else 0
 
 
-def _read_stored(connection: "Connection", *, environment: str) -> str:
-    documents = _read_documents(connection, environment=environment)
+def _read_active_text(client: "ApiClient", *, environment: str) -> str:
+    documents = _read_documents(client, environment=environment)
     return str(documents[0]["text"]) if documents else ""
 
 
-def _find_digest(connection: "Connection", document: str) -> str:
+def _resolve_digest(client: "ApiClient", document: str) -> str:
     if Path(document).is_file():
         return hashlib.sha256(Path(document).read_bytes()).hexdigest()
-    if len(document) >= DIGEST_CHARACTERS:
+    if len(document) >= DIGEST_LENGTH:
         return document
-    tried = _read_documents(connection, environment="trial")
-    matches = {str(item["digest"]) for item in tried if item["digest"].startswith(document)}
+    trial_documents = _read_documents(client, environment="trial")
+    matches = {str(item["digest"]) for item in trial_documents if item["digest"].startswith(document)}
     if len(matches) == 1:
         return matches.pop()
-    reason = "several tried documents start with it" if matches else "no tried document starts with it"
+    reason = (
+        "several trial documents match this prefix" if matches else "no trial document matches this prefix"
+    )
     message = f"{document!r} is neither a file nor a digest: {reason}; see `hyssopway history -e trial`"
     raise CommandError(status=ExitStatus.USAGE, message=message)
 
--- a/src/hyssopway/cli/exit_status.py
+++ b/src/hyssopway/cli/exit_status.py
@@ -1,4 +1,4 @@
-"""Exit statuses of the command line; `docs/operators.md` has the table."""
+"""Exit statuses of the command line, documented in `docs/operators.md`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ExitStatus(IntEnum):
-    """Exit status, stable across releases."""
+    """Exit status of a command; the values are stable across releases."""
 
     OK = 0
     REFUSED = 1
--- a/src/hyssopway/cli/explain_commands.py
+++ b/src/hyssopway/cli/explain_commands.py
@@ -1,22 +1,22 @@
-"""Commands that explain decisions."""
+"""Commands that explain scheduling decisions and the outcome of requests."""
 
 from typing import Annotated, Any
 
 import typer
 
-from .access import operator_connection
+from .access import operator_client
 from .options import Json
 from .output import write_fields, write_json, write_line
 from .route_path import route_path
 
-app = typer.Typer(help="Explain decisions about a job, a VM or a request.", no_args_is_help=True)
+app = typer.Typer(help="Explain the state of a job, a VM or a request.", no_args_is_help=True)
 
 
 @app.command()
 def job(
     context: typer.Context, job_id: Annotated[str, typer.Argument(metavar="JOB")], as_json: Json = False
 ) -> None:
-    """Explain where and why a job ran, or why not.
+    """Explain where and why a job ran, or why it has not run.
 
     Example: hyssopway explain job JOB
     """
@@ -40,7 +40,7 @@
     request_id: Annotated[str, typer.Argument(metavar="REQUEST")],
     as_json: Json = False,
 ) -> None:
-    """Explain what happened to a change or a non-idempotent request by its id.
+    """Explain what happened to a change or a non-idempotent request by its request ID.
 
     Example: hyssopway explain request REQUEST
     """
@@ -48,7 +48,7 @@
 
 
 def _explain(context: typer.Context, *, kind: str, name: str, as_json: bool) -> None:
-    data: dict[str, Any] = operator_connection(context).read(route_path("explain", kind, name))
+    data: dict[str, Any] = operator_client(context).read(route_path("explain", kind, name))
     if as_json:
         write_json(data)
         return
--- a/src/hyssopway/cli/fleet_commands.py
+++ b/src/hyssopway/cli/fleet_commands.py
@@ -2,17 +2,17 @@
 
 import typer
 
-from .access import operator_connection
+from .access import operator_client
 from .options import Json
 from .output import write_json, write_table
 
 
 def pools(context: typer.Context, as_json: Json = False) -> None:
-    """List pools with their VMs and budgets.
+    """List pools with their VMs and availability budgets.
 
     Example: hyssopway pools
     """
-    data = operator_connection(context).read("/v1/pools")
+    data = operator_client(context).read("/v1/pools")
     if as_json:
         write_json(data)
         return
@@ -29,11 +29,11 @@
 
 
 def teams(context: typer.Context, as_json: Json = False) -> None:
-    """List teams with their share, limit and what they hold.
+    """List teams with their share, upper limits and current usage.
 
     Example: hyssopway teams
     """
-    data = operator_connection(context).read("/v1/teams")
+    data = operator_client(context).read("/v1/teams")
     if as_json:
         write_json(data)
         return
--- a/src/hyssopway/cli/key_commands.py
+++ b/src/hyssopway/cli/key_commands.py
@@ -1,17 +1,17 @@
-"""Commands about keys of teams."""
+"""Commands that grant, withdraw and list the keys of teams."""
 
 import hashlib
 from typing import Annotated
 
 import typer
 
-from .access import operator_connection
+from .access import operator_client
 from .command_error import CommandError
 from .exit_status import ExitStatus
-from .options import Json, RequestId, Wait, WaitSeconds
+from .options import Json, RequestId, Wait, WaitTimeout
 from .output import format_time, write_json, write_line, write_table
 from .route_path import route_path
-from .waiting import wait_in_force
+from .waiting import wait_until_active
 
 app = typer.Typer(help="Grant, withdraw and list keys of teams.", no_args_is_help=True)
 
@@ -22,7 +22,7 @@
     team: Annotated[str, typer.Argument(metavar="TEAM")],
     as_json: Json = False,
 ) -> None:
-    """Grant a new key to a team; its text is printed once and kept nowhere.
+    """Grant a new key to a team; the key is printed once and not stored.
 
     Example: hyssopway keys grant granite-hearth
     """
@@ -32,10 +32,10 @@
     secret = text.rsplit("_", 1)[1]
     body = {"key_id": key_id, "key_hash": hashlib.sha256(secret.encode()).hexdigest(), "team": team}
     try:
-        operator_connection(context).change("POST", "/v1/keys", body)
+        operator_client(context).change("POST", "/v1/keys", body)
     except CommandError as error:
         if error.status is ExitStatus.MAY_HAVE_RUN:
-            message = f"it is not known whether key {key_id} was granted; withdraw it if `keys list` shows it"
+            message = f"key {key_id} may have been granted; withdraw it if `hyssopway keys list` shows it"
             raise CommandError(status=error.status, message=message) from error
         raise
     if as_json:
@@ -50,17 +50,17 @@
     key: Annotated[str, typer.Argument(metavar="KEY_ID")],
     request_id: RequestId = "",
     wait: Wait = False,
-    wait_timeout: WaitSeconds = 16,
+    wait_timeout: WaitTimeout = 16,
 ) -> None:
     """Withdraw a key; it stops working within seconds.
 
     Example: hyssopway keys withdraw 0a1b2c3d4e5f --wait
     """
-    connection = operator_connection(context)
-    outcome = connection.change("DELETE", route_path("keys", key), request_id=request_id)
+    client = operator_client(context)
+    outcome = client.change("DELETE", route_path("keys", key), request_id=request_id)
     write_line(f"key {key} withdrawn")
     if wait:
-        wait_in_force(connection, index=outcome["index"], timeout_s=wait_timeout)
+        wait_until_active(client, index=outcome["index"], timeout_s=wait_timeout)
 
 
 @app.command("list")
@@ -69,7 +69,7 @@
 
     Example: hyssopway keys list
     """
-    data = operator_connection(context).read("/v1/keys")
+    data = operator_client(context).read("/v1/keys")
     if as_json:
         write_json(data)
         return
--- a/src/hyssopway/cli/output.py
+++ b/src/hyssopway/cli/output.py
@@ -1,4 +1,4 @@
-"""Writes results as JSON, as a table on a terminal, or as plain columns when piped."""
+"""Output helpers: JSON, and tables that are styled on a terminal and plain when piped."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def write_json(data: Any) -> None:
-    """Writes JSON."""
+    """Writes data as indented JSON to standard output."""
     write_line(json.dumps(data, indent=2))
 
 
@@ -21,14 +21,14 @@
     sys.stdout.write(f"{text}\n")
 
 
-def write_note(text: str) -> None:
-    """Writes one line to standard error, for progress and warnings."""
+def write_diagnostic(text: str) -> None:
+    """Writes one line of progress or a warning to standard error."""
     sys.stderr.write(f"{text}\n")
     sys.stderr.flush()
 
 
 def write_table(*, columns: Sequence[str], rows: Sequence[Sequence[Any]]) -> None:
-    """Writes rows under a header."""
+    """Writes rows under a header; None and empty cells are shown as `-`."""
     cells = [["-" if cell in (None, "") else str(cell) for cell in row] for row in rows]
     if sys.stdout.isatty():
         _write_rich(columns=columns, cells=cells)
@@ -37,20 +37,20 @@
 
 
 def write_fields(fields: dict[str, Any]) -> None:
-    """Writes one `name: value` line for each field; nested values stay JSON."""
+    """Writes one `name: value` line per field; values other than strings are written as JSON."""
     for name, value in fields.items():
         text = value if isinstance(value, str) else json.dumps(value)
         write_line(f"{name}: {text}")
 
 
-def write_next(cursor: str | None) -> None:
-    """Says on standard error how the next page of a list is read."""
+def write_next_page_hint(cursor: str | None) -> None:
+    """Writes to standard error how to request the next page, if there is one."""
     if cursor is not None:
-        write_note(f"there are more; continue with --after {cursor}")
+        write_diagnostic(f"more results available; continue with --after {cursor}")
 
 
 def format_time(at_ms: float | None) -> str:
-    """Formats wall time in UTC; empty for none."""
+    """Formats Unix time in milliseconds as UTC; empty if there is none."""
     return time.strftime("%Y-%m-%d %H:%M:%SZ", time.gmtime(at_ms / 1000)) if at_ms else ""
 
 
@@ -90,10 +90,10 @@
 
 __all__ = [
     "format_time",
+    "write_diagnostic",
     "write_fields",
     "write_json",
     "write_line",
-    "write_next",
-    "write_note",
+    "write_next_page_hint",
     "write_table",
 ]
--- a/src/hyssopway/cli/run.py
+++ b/src/hyssopway/cli/run.py
@@ -20,9 +20,9 @@
     wave_commands,
     zone_commands,
 )
+from .client_options import ClientOptions, load_profile
 from .command_error import CommandError
 from .exit_status import ExitStatus
-from .target import Target, load_profile
 
 app = typer.Typer(
     name="hyssopway",
@@ -54,7 +54,7 @@
 
 
 @app.callback()
-def choose_target(
+def read_global_options(
     context: typer.Context,
     entry: Annotated[
         list[str] | None,
@@ -62,19 +62,24 @@
             "--entry",
             metavar="URL",
             envvar="HYSSOPWAY_ENTRIES",
-            help="Entry VM; repeat it, or separate by spaces in the environment.",
+            help="URL of an entry VM; repeat for several, or separate by spaces in the environment variable.",
         ),
     ] = None,
-    token: Annotated[
-        str, typer.Option("--token", envvar="HYSSOPWAY_TOKEN", help="Token of the operators.")
-    ] = "",
-    key: Annotated[str, typer.Option("--key", envvar="HYSSOPWAY_KEY", help="Key of a team.")] = "",
+    token: Annotated[str, typer.Option("--token", envvar="HYSSOPWAY_TOKEN", help="Operators' token.")] = "",
+    key: Annotated[str, typer.Option("--key", envvar="HYSSOPWAY_KEY", help="Team's key.")] = "",
     operator: Annotated[
         str,
-        typer.Option("--operator", envvar="HYSSOPWAY_OPERATOR", help="Name that changes are recorded under."),
+        typer.Option(
+            "--operator", envvar="HYSSOPWAY_OPERATOR", help="Operator name that is recorded with changes."
+        ),
     ] = "",
     authority: Annotated[
-        str, typer.Option("--authority", envvar="HYSSOPWAY_AUTHORITY", help="PEM file that signs entry VMs.")
+        str,
+        typer.Option(
+            "--authority",
+            envvar="HYSSOPWAY_AUTHORITY",
+            help="PEM file with the CA certificates that verify entry VMs.",
+        ),
     ] = "",
     timeout: Annotated[
         float,
@@ -82,21 +87,23 @@
             "--timeout",
             metavar="S",
             min=0.0,
-            help="Seconds that one entry VM gets, 10 by default.",
+            help="Timeout for one entry VM in seconds, 10 by default.",
             show_default=False,
         ),
     ] = 0.0,
     profile: Annotated[
         Path | None,
-        typer.Option("--profile", metavar="FILE", envvar="HYSSOPWAY_PROFILE", help="These options in YAML."),
+        typer.Option(
+            "--profile", metavar="FILE", envvar="HYSSOPWAY_PROFILE", help="YAML file with these options."
+        ),
     ] = None,
 ) -> None:
     """Fleet capacity and maintenance manager.
 
     Example: hyssopway --entry http://127.0.1.1:8080 --token example-operator-token status
     """
-    stored = load_profile(profile) if profile is not None else {}
-    given: dict[str, Any] = {
+    profile_values = load_profile(profile) if profile is not None else {}
+    overrides: dict[str, Any] = {
         "entries": entry,
         "token": token,
         "key": key,
@@ -104,11 +111,11 @@
         "authority": authority,
         "timeout_s": timeout,
     }
-    fields = {"entries": [], "operator": os.environ.get("USER", "")} | stored
-    context.obj = Target(**(fields | {name: value for name, value in given.items() if value}))
-    wrong = [url for url in context.obj.entries if not url.startswith(("http://", "https://"))]
-    if wrong:
-        message = f"entry VMs must be http or https URLs, not {', '.join(map(repr, wrong))}"
+    defaults = {"entries": [], "operator": os.environ.get("USER", "")} | profile_values
+    context.obj = ClientOptions(**(defaults | {name: value for name, value in overrides.items() if value}))
+    invalid_urls = [url for url in context.obj.entries if not url.startswith(("http://", "https://"))]
+    if invalid_urls:
+        message = f"entry VMs must be http or https URLs, not {', '.join(map(repr, invalid_urls))}"
         raise CommandError(status=ExitStatus.USAGE, message=message)
 
 
@@ -122,7 +129,7 @@
     except SystemExit as stop:
         return stop.code if isinstance(stop.code, int) else int(stop.code is not None)
     except BrokenPipeError:
-        # The reader of a pipe has seen enough; Python would report the same error again at its exit.
+        # The reader closed the pipe. Python flushes stdout again at exit and would report the same error.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     return int(ExitStatus.OK)
 
--- a/src/hyssopway/cli/status_commands.py
+++ b/src/hyssopway/cli/status_commands.py
@@ -1,27 +1,27 @@
-"""Commands that show the processes of a deployment."""
+"""Commands that show the state of a deployment and its processes."""
 
 from typing import Annotated, Any
 
 import typer
 
-from .access import operator_connection
+from .access import operator_client
 from .options import Json
 from .output import write_json, write_line, write_table
 
 
 def status(context: typer.Context, as_json: Json = False) -> None:
-    """Show daemons, the configuration in force, waves, zones, open questions and latencies.
+    """Show daemons, the active configuration, waves, zones, open questions and latencies.
 
     Example: hyssopway status
     """
-    data = operator_connection(context).read("/v1/status")
+    data = operator_client(context).read("/v1/status")
     if as_json:
         write_json(data)
         return
     columns = ("daemon", "zone", "reachable", "role", "confirmed", "generation", "endpoints", "workers")
-    write_table(columns=columns, rows=[_row(daemon) for daemon in data["daemons"]])
+    write_table(columns=columns, rows=[_daemon_row(daemon) for daemon in data["daemons"]])
     rollout = data["rollout"]
-    write_line(f"production generation {rollout['generation']}: {_describe(rollout)}")
+    write_line(f"production generation {rollout['generation']}: {_describe_rollout(rollout)}")
     _write_fleet(data["fleet"])
     _write_latencies(data["metrics"]["latencies_ms"])
 
@@ -29,17 +29,20 @@
 def dump(
     context: typer.Context,
     entry: Annotated[
-        str, typer.Option("--of", metavar="URL", help="Process to ask; the first entry VM.")
+        str,
+        typer.Option(
+            "--of", metavar="URL", help="URL of the process to query; the first entry VM by default."
+        ),
     ] = "",
 ) -> None:
     """Print the state of one process as JSON.
 
     Example: hyssopway dump
     """
-    connection = operator_connection(context)
+    client = operator_client(context)
     if entry:
-        connection.entries = [entry]
-    write_json(connection.read("/v1/dump"))
+        client.entries = [entry]
+    write_json(client.read("/v1/dump"))
 
 
 def _write_fleet(fleet: dict[str, Any]) -> None:
@@ -64,20 +67,20 @@
         write_table(columns=["latency in ms", *columns], rows=rows)
 
 
-def _row(daemon: dict[str, Any]) -> tuple[Any, ...]:
+def _daemon_row(daemon: dict[str, Any]) -> tuple[Any, ...]:
     reachable = "yes" if daemon["reachable"] else "no"
     confirmed = {True: "yes", False: "no"}.get(daemon.get("confirmed", ""), "")
     rest = [daemon.get(name, "") for name in ("generation", "endpoints", "workers")]
     return (daemon["daemon"], daemon["zone"], reachable, daemon.get("role"), confirmed, *rest)
 
 
-def _describe(rollout: dict[str, Any]) -> str:
-    parts = [f"in force on {len(rollout['in_force'])} processes"]
+def _describe_rollout(rollout: dict[str, Any]) -> str:
+    parts = [f"active on {len(rollout['in_force'])} processes"]
     if rollout["behind"]:
         parts.append(f"not yet on {', '.join(rollout['behind'])}")
     if rollout["unreachable"]:
         names = ", ".join(rollout["unreachable"])
-        parts.append(f"not reachable: {names}, without authority in {rollout['old_ends_in_s']:.1f} s")
+        parts.append(f"unreachable: {names}, authority expires in {rollout['old_ends_in_s']:.1f} s")
     return "; ".join(parts)
 
 
--- a/src/hyssopway/cli/zone_commands.py
+++ b/src/hyssopway/cli/zone_commands.py
@@ -1,20 +1,20 @@
-"""Commands about availability zones."""
+"""Commands that withdraw, restore and list availability zones."""
 
 import json
 from typing import Annotated, Any
 
 import typer
 
-from .access import operator_connection
-from .options import Json, RequestId, Wait, WaitSeconds
+from .access import operator_client
+from .options import Json, RequestId, Wait, WaitTimeout
 from .output import write_json, write_line, write_table
 from .route_path import route_path
-from .waiting import wait_in_force
+from .waiting import wait_until_active
 
 app = typer.Typer(help="Withdraw, restore and list availability zones.", no_args_is_help=True)
 
 ZoneName = Annotated[str, typer.Argument(metavar="ZONE")]
-Epoch = Annotated[
+ExpectedEpoch = Annotated[
     int | None, typer.Option("--expect", metavar="EPOCH", help="Refuse unless the zone is at this epoch.")
 ]
 
@@ -25,7 +25,7 @@
 
     Example: hyssopway zones list
     """
-    data = operator_connection(context).read("/v1/zones")
+    data = operator_client(context).read("/v1/zones")
     if as_json:
         write_json(data)
         return
@@ -37,18 +37,20 @@
 def withdraw(
     context: typer.Context,
     zone: ZoneName,
-    dry_run: Annotated[bool, typer.Option("--dry-run", help="Only show what would happen.")] = False,
-    expect: Epoch = None,
+    dry_run: Annotated[
+        bool, typer.Option("--dry-run", help="Show the effects without withdrawing the zone.")
+    ] = False,
+    expect: ExpectedEpoch = None,
     request_id: RequestId = "",
     wait: Wait = False,
-    wait_timeout: WaitSeconds = 16,
+    wait_timeout: WaitTimeout = 16,
 ) -> None:
-    """Take a zone out of service: no task starts there any more.
+    """Take a zone out of service: no further task starts there.
 
     Example: hyssopway zones withdraw Portland --wait
     """
     if dry_run:
-        _write_report(operator_connection(context).read(route_path("zones", zone, "withdrawal")))
+        _write_withdrawal_report(operator_client(context).read(route_path("zones", zone, "withdrawal")))
         return
     _set_zone(
         context,
@@ -65,12 +67,12 @@
     context: typer.Context,
     zone: ZoneName,
     at_once: Annotated[bool, typer.Option("--at-once", help="Use its whole capacity immediately.")] = False,
-    expect: Epoch = None,
+    expect: ExpectedEpoch = None,
     request_id: RequestId = "",
     wait: Wait = False,
-    wait_timeout: WaitSeconds = 16,
+    wait_timeout: WaitTimeout = 16,
 ) -> None:
-    """Bring a zone back; the scheduler raises its load in steps.
+    """Return a zone to service; the scheduler raises its load in steps.
 
     Example: hyssopway zones restore Portland
     """
@@ -93,31 +95,33 @@
     request_id: str,
     wait_s: float | None,
 ) -> None:
-    connection = operator_connection(context)
+    client = operator_client(context)
     body = {"status": status, "expected_epoch": expect}
-    resend = "" if expect is None else f"--expect {expect}"
-    outcome = connection.change("POST", route_path("zones", zone), body, request_id=request_id, resend=resend)
+    retry_options = "" if expect is None else f"--expect {expect}"
+    outcome = client.change(
+        "POST", route_path("zones", zone), body, request_id=request_id, retry_options=retry_options
+    )
     write_line(f"zone {zone} is {status} at epoch {outcome['generation']}")
     if wait_s is not None:
-        wait_in_force(connection, index=outcome["index"], timeout_s=wait_s)
+        wait_until_active(client, index=outcome["index"], timeout_s=wait_s)
 
 
-def _write_report(report: dict[str, Any]) -> None:
+def _write_withdrawal_report(report: dict[str, Any]) -> None:
     zone = report["zone"]
     write_line(f"zone {zone['name']} is {zone['status']} at epoch {zone['epoch']}")
-    write_line(f"VMs: {_count(report['vms'])}")
+    write_line(f"VMs: {_format_counts(report['vms'])}")
     columns = ("pool", "vms", "down", "max_down", "to_empty", "emptied_at_once", "kept_waiting")
     rows = [[budget[name] for name in columns] for budget in report["budgets"]]
     write_table(columns=[name.replace("_", " ") for name in columns], rows=rows)
     write_line(f"services: {', '.join(report['services']) or 'none'}")
-    write_line(f"jobs: {_count(report['jobs'])}")
-    write_line(f"VMs missing in other zones: {_count(report['missing_vms'])}")
+    write_line(f"jobs: {_format_counts(report['jobs'])}")
+    write_line(f"VMs missing in other zones: {_format_counts(report['missing_vms'])}")
     write_line(f"spare VMs: {', '.join(sorted(report['spare_vms'])) or 'none'}")
     if report["stopped_by_failures"]:
         write_line(f"stopped by failures: {json.dumps(report['stopped_by_failures'])}")
 
 
-def _count(counts: Any) -> str:
+def _format_counts(counts: Any) -> str:
     if not isinstance(counts, dict):
         return str(counts)
     return ", ".join(f"{count} {name.replace('_', ' ')}" for name, count in sorted(counts.items())) or "none"
--- a/tests/cli/test_failover.py
+++ b/tests/cli/test_failover.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hyssopway.cli import connection
+from hyssopway.cli import api_client
 from hyssopway.cli.run import main
 
 LOST = "lost"
@@ -18,7 +18,7 @@
 
 @pytest.fixture(autouse=True)
 def _no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "PAUSE_S", 0.01)
+    monkeypatch.setattr(api_client, "RETRY_PAUSE_S", 0.01)
 
 
 def withdraw(*urls: str) -> int:
--- a/tests/cli/test_waiting.py
+++ b/tests/cli/test_waiting.py
@@ -18,17 +18,17 @@
 @pytest.mark.parametrize(
     "case",
     [
-        ([status(["a", "b"], [], [], 3.0)], 0, "in force on every reachable process"),
-        ([status(["a"], ["b"], [], 3.0), status(["a", "b"], [], [], 2.9)], 0, "in force on every"),
-        ([status(["a"], [], ["b"], 0.1)], 0, "not confirmed on b: without authority"),
-        ([status(["a"], ["b"], [], 0.0)], 6, "not in force after 0.5 s on: b"),
-        ([status([], ["a"], ["b"], None)], 6, "not in force after 0.5 s on: a"),
+        ([status(["a", "b"], [], [], 3.0)], 0, "active on every reachable process"),
+        ([status(["a"], ["b"], [], 3.0), status(["a", "b"], [], [], 2.9)], 0, "active on every"),
+        ([status(["a"], [], ["b"], 0.1)], 0, "not confirmed on b: authority to act on older state expires"),
+        ([status(["a"], ["b"], [], 0.0)], 6, "not active after 0.5 s on: b"),
+        ([status([], ["a"], ["b"], None)], 6, "not active after 0.5 s on: a"),
     ],
 )
 def test_wait_ends_only_when_no_reachable_process_is_behind(case, scripted, monkeypatch, capsys):
     """Guards against reporting a change as in force while a process still acts on the old state."""
     states, expected, text = case
-    monkeypatch.setattr(waiting, "POLL_S", 0.05)
+    monkeypatch.setattr(waiting, "POLL_INTERVAL_S", 0.05)
     entry = scripted(CHANGED, *states)
     options = ["--entry", entry.url, "--token", "t" * 8, "zones", "withdraw", "Nashua"]
     assert main([*options, "--wait", "--wait-timeout", "0.5"]) == expected
@@ -54,7 +54,7 @@
 def test_drain_is_waited_for_until_the_vm_is_empty(case, scripted, monkeypatch, capsys):
     """Guards against a drain that is reported as ended while the VM still runs tasks."""
     states, expected, text = case
-    monkeypatch.setattr(waiting, "POLL_S", 0.05)
+    monkeypatch.setattr(waiting, "POLL_INTERVAL_S", 0.05)
     entry = scripted(vms("ready", []), CHANGED, *states)
     options = ["--entry", entry.url, "--token", "t" * 8, "vms", "drain", "vm"]
     assert main([*options, "--wait", "--wait-timeout", "0.5"]) == expected
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -63,7 +63,7 @@
         done = await cli.run(*command.replace("KEY", key_id).split())
         if command == "keys grant granite-hearth":
             key_id = done.out.split("_")[1]
-        progress = [line for line in done.err.splitlines() if not line.startswith("in force on")]
+        progress = [line for line in done.err.splitlines() if not line.startswith("active on")]
         shown, out, err = command, done.out, "\n".join(progress)
         for path, name in names.items():
             shown, out, err = (text.replace(path, name) for text in (shown, out, err))
--- a/tests/whole/test_changes.py
+++ b/tests/whole/test_changes.py
@@ -27,7 +27,7 @@
     async with session.post(f"{frozen.url}/call/restock-plan", data=b"x", headers=headers) as answer:
         body = await answer.json()
     assert done.status == 0, done.err
-    assert "not confirmed on portland-1: without authority on older state from" in done.out
+    assert "not confirmed on portland-1: authority to act on older state expires at" in done.out
     assert elapsed_s >= 3.0
     assert withdrawn.status == 0, withdrawn.err
     assert body["name"] in ("KEY_UNCONFIRMED", "KEY_INVALID"), body
