--- a/tests/cli/conftest.py
+++ b/tests/cli/conftest.py
@@ -1,4 +1,4 @@
-"""Entry VMs that answer as a test tells them."""
+"""Fixture for entry VMs that return scripted responses."""
 
 from __future__ import annotations
 
@@ -12,26 +12,29 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-LOST = "lost"
+RESPONSE_LOST = "lost"
 
 
-class ScriptedEntry:
-    """Answers requests from a list; `LOST` closes the connection after the request was read."""
+class ScriptedEntryVm:
+    """HTTP server that returns scripted responses in order and repeats the last one.
 
-    def __init__(self, *answers: Any) -> None:
-        self.answers = list(answers)
-        self.seen: list[dict[str, Any]] = []
+    `RESPONSE_LOST` closes the connection after reading the request, without a response.
+    """
+
+    def __init__(self, *responses: Any) -> None:
+        self.responses = list(responses)
+        self.received_requests: list[dict[str, Any]] = []
         self.server = ThreadingHTTPServer(("127.0.0.1", 0), self._handler())
         self.thread = threading.Thread(target=self.server.serve_forever, kwargs={"poll_interval": 0.01})
         self.thread.start()
 
     @property
     def url(self) -> str:
-        """Base URL."""
+        """Base URL of the server."""
         return f"http://127.0.0.1:{self.server.server_address[1]}"
 
     def stop(self) -> None:
-        """Stops to listen."""
+        """Stops the server."""
         self.server.shutdown()
         self.thread.join()
         self.server.server_close()
@@ -40,22 +43,22 @@
         entry = self
 
         class Handler(BaseHTTPRequestHandler):
-            def answer(self) -> None:
+            def handle_request(self) -> None:
                 size = int(self.headers.get("Content-Length", 0))
                 body = json.loads(self.rfile.read(size) or "null")
-                entry.seen.append({"path": self.path, "body": body, **dict(self.headers)})
-                answer = entry.answers.pop(0) if len(entry.answers) > 1 else entry.answers[0]
-                if answer is LOST:
+                entry.received_requests.append({"path": self.path, "body": body, **dict(self.headers)})
+                response = entry.responses.pop(0) if len(entry.responses) > 1 else entry.responses[0]
+                if response is RESPONSE_LOST:
                     self.close_connection = True
                     return
-                status, data = answer
+                status, data = response
                 raw = data if isinstance(data, bytes) else json.dumps(data).encode()
                 self.send_response(status)
                 self.send_header("Content-Length", str(len(raw)))
                 self.end_headers()
                 self.wfile.write(raw)
 
-            do_GET = do_POST = do_DELETE = answer  # noqa: N815  names that http.server looks up
+            do_GET = do_POST = do_DELETE = handle_request  # noqa: N815  names that http.server looks up
 
             def log_message(self, *_: object) -> None:
                 pass
@@ -64,13 +67,13 @@
 
 
 @pytest.fixture
-def scripted() -> Iterator[Callable[..., ScriptedEntry]]:
-    entries: list[ScriptedEntry] = []
+def start_entry_vm() -> Iterator[Callable[..., ScriptedEntryVm]]:
+    entries: list[ScriptedEntryVm] = []
 
-    def make(*answers: Any) -> ScriptedEntry:
-        entries.append(ScriptedEntry(*answers))
+    def start(*responses: Any) -> ScriptedEntryVm:
+        entries.append(ScriptedEntryVm(*responses))
         return entries[-1]
 
-    yield make
+    yield start
     for entry in entries:
         entry.stop()
--- a/tests/cli/test_bodies.py
+++ b/tests/cli/test_command_requests.py
@@ -1,4 +1,4 @@
-"""Routes and bodies that commands send."""
+"""Paths and bodies of the requests that commands send."""
 
 from __future__ import annotations
 
@@ -37,9 +37,9 @@
         ("waves show", None, "/v1/waves", None),
     ],
 )
-def test_commands_send_what_routes_expect(command, read, path, body, scripted):
-    """Guards against a command whose body the server refuses."""
-    answers = [WAVES] if command == "waves show" else [*([read] if read else []), DONE]
-    entry = scripted(*answers)
+def test_commands_send_what_routes_expect(command, read, path, body, start_entry_vm):
+    """Guards against a command that sends a path or a body which the server does not accept."""
+    responses = [WAVES] if command == "waves show" else [*([read] if read else []), DONE]
+    entry = start_entry_vm(*responses)
     assert main(["--entry", entry.url, "--token", "t" * 8, "--key", "k", *command.split()]) == 0
-    assert (entry.seen[-1]["path"], entry.seen[-1]["body"]) == (path, body)
+    assert (entry.received_requests[-1]["path"], entry.received_requests[-1]["body"]) == (path, body)
--- a/tests/cli/test_failover.py
+++ b/tests/cli/test_failover.py
@@ -1,4 +1,4 @@
-"""Which entry VM is asked, and which exit status a failure ends in."""
+"""Failover between entry VMs, and the exit status of each kind of failure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hyssopway.cli import api_client
 from hyssopway.cli.run import main
 
-LOST = "lost"
+RESPONSE_LOST = "lost"
 DONE = (200, {"index": 7, "generation": 1, "reference": "Nashua"})
 CLOSED = "http://127.0.0.1:9"
 
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
+def _shorten_retry_pause(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(api_client, "RETRY_PAUSE_S", 0.01)
 
 
@@ -30,50 +30,50 @@
     ("first", "second", "status"),
     [
         ([DONE], [DONE], 0),
-        ([LOST], [DONE], 0),
+        ([RESPONSE_LOST], [DONE], 0),
         ([failure(502)], [DONE], 0),
         ([failure(503, "may_have_run")], [DONE], 0),
         ([failure(802)], [DONE], 1),
         ([failure(301)], [DONE], 3),
         ([failure(204)], [DONE], 77),
-        ([LOST], [LOST], 4),
-        ([LOST], [failure(502)], 4),
+        ([RESPONSE_LOST], [RESPONSE_LOST], 4),
+        ([RESPONSE_LOST], [failure(502)], 4),
         ([failure(502)], [failure(502)], 1),
         ([failure(503, "may_have_run")], [failure(502)], 4),
-        ([LOST], [failure(301)], 3),
+        ([RESPONSE_LOST], [failure(301)], 3),
         ([(500, b"<html>")], [DONE], 1),
     ],
 )
-def test_change_reaches_outcome_or_says_that_it_may_have_run(scripted, first, second, status):
-    """Guards against reporting a change as not run after one of its answers was lost."""
-    one, two = scripted(*first), scripted(*second)
+def test_change_succeeds_after_failover_or_reports_unknown_outcome(start_entry_vm, first, second, status):
+    """Guards against reporting a change as not run although a response to it was lost."""
+    one, two = start_entry_vm(*first), start_entry_vm(*second)
     assert withdraw(one.url, two.url) == status
 
 
-def test_resend_carries_the_first_request_id(scripted):
-    """Guards against a second change when only the answer to the first was lost."""
-    one, two = scripted(LOST), scripted(DONE)
+def test_retry_reuses_the_first_request_id(start_entry_vm):
+    """Guards against applying a change twice when only the response to the first attempt was lost."""
+    one, two = start_entry_vm(RESPONSE_LOST), start_entry_vm(DONE)
     assert withdraw(one.url, two.url) == 0
-    assert len({request["Idempotency-Key"] for request in one.seen + two.seen}) == 1
+    assert len({request["Idempotency-Key"] for request in one.received_requests + two.received_requests}) == 1
 
 
-def test_closed_entries_end_as_unreachable_and_nothing_was_sent(scripted, capsys):
-    """Guards against calling a change that no one received uncertain."""
+def test_refused_connections_are_reported_as_unreachable(start_entry_vm, capsys):
+    """Guards against reporting an unknown outcome for a change that no entry VM received."""
     assert withdraw(CLOSED, CLOSED) == 5
     assert "does not answer" in capsys.readouterr().err
 
 
-def test_message_of_lost_change_names_the_request_id(scripted, capsys):
-    """Guards against an operator who cannot learn the outcome of a change."""
-    entry = scripted(LOST)
+def test_unknown_outcome_message_contains_the_request_id(start_entry_vm, capsys):
+    """Guards against a failure that leaves the operator no way to find out the outcome of a change."""
+    entry = start_entry_vm(RESPONSE_LOST)
     assert withdraw(entry.url) == 4
-    assert f"--request-id {entry.seen[0]['Idempotency-Key']}" in capsys.readouterr().err
+    assert f"--request-id {entry.received_requests[0]['Idempotency-Key']}" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("name", ["a b", "a/b", "ä", "../x", "a?b#c", "%2e"])
-def test_names_are_quoted_in_paths(scripted, name):
-    """Guards against a name that turns into another route."""
-    entry = scripted(DONE)
+def test_names_are_percent_encoded_in_paths(start_entry_vm, name):
+    """Guards against a resource name whose special characters address another route."""
+    entry = start_entry_vm(DONE)
     assert main(["--entry", entry.url, "--token", "t" * 8, "keys", "withdraw", name]) == 0
-    assert entry.seen[0]["path"].count("/") == 3
-    assert "?" not in entry.seen[0]["path"]
+    assert entry.received_requests[0]["path"].count("/") == 3
+    assert "?" not in entry.received_requests[0]["path"]
--- a/tests/cli/test_options.py
+++ b/tests/cli/test_options.py
@@ -1,4 +1,4 @@
-"""Options, environment, profile file and files to check."""
+"""Global options, environment variables, profile files and the `check` command."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
         (["--profile", "absent.yaml", "zones", "list"], 64, "absent.yaml"),
     ],
 )
-def test_wrong_use_is_named(arguments, status, text, capsys, monkeypatch):
-    """Guards against a command that fails without saying what it needs."""
+def test_error_names_what_is_missing_or_invalid(arguments, status, text, capsys, monkeypatch):
+    """Guards against an error that does not name the missing or invalid option or file."""
     for name in ("HYSSOPWAY_ENTRIES", "HYSSOPWAY_TOKEN", "HYSSOPWAY_KEY", "HYSSOPWAY_PROFILE"):
         monkeypatch.delenv(name, raising=False)
     assert main(arguments) == status
@@ -53,8 +53,8 @@
         ("a: [", "profile.yaml"),
     ],
 )
-def test_wrong_profile_is_named(text, found, tmp_path, capsys):
-    """Guards against a profile whose misspelt field is ignored."""
+def test_invalid_profile_field_is_reported(text, found, tmp_path, capsys):
+    """Guards against silently ignoring a misspelt or invalid field of a profile."""
     path = tmp_path / "profile.yaml"
     path.write_text(text)
     assert main(["--profile", str(path), "zones", "list"]) == 64
@@ -62,9 +62,9 @@
 
 
 @pytest.mark.parametrize("source", ["options", "environment", "profile"])
-def test_target_comes_from_each_source(source, scripted, tmp_path, monkeypatch, capsys):
-    """Guards against a source that is documented and not read."""
-    entry = scripted(STATUS)
+def test_connection_options_are_read_from_each_source(source, start_entry_vm, tmp_path, monkeypatch, capsys):
+    """Guards against a documented source of options that is not read."""
+    entry = start_entry_vm(STATUS)
     arguments = []
     if source == "options":
         arguments = ["--entry", entry.url, "--token", "secret-token"]
@@ -77,19 +77,19 @@
         monkeypatch.setenv("HYSSOPWAY_PROFILE", str(path))
     assert main([*arguments, "zones", "list", "--json"]) == 0
     assert json.loads(capsys.readouterr().out) == STATUS[1]
-    assert entry.seen[0]["Authorization"] == "Bearer secret-token"
+    assert entry.received_requests[0]["Authorization"] == "Bearer secret-token"
 
 
-def test_check_accepts_examples_of_both_kinds(capsys):
-    """Guards against examples that the product itself refuses."""
+def test_check_accepts_example_document_and_settings(capsys):
+    """Guards against example files that fail validation."""
     assert main(["check", DOCUMENT, SETTINGS]) == 0
 
 
-def test_help_answers_quickly():
-    """Guards against a heavy import at the start of the command line."""
+def test_startup_avoids_heavy_imports():
+    """Guards against a slow start of the command line due to a heavy import."""
     heavy = "{'aiohttp', 'capnp', 'pydantic', 'loguru', 'expression', 'yaml'}"
     code = f"import sys, hyssopway.cli.run; sys.exit(bool({heavy} & set(sys.modules)))"
     started = time.monotonic()
     assert subprocess.run([sys.executable, "-c", code], check=False).returncode == 0
-    # The design value is 0.5 s on an idle machine; the modules above are the strict check.
+    # The design target is 0.5 s on an idle machine; the list of modules above is the strict check.
     assert time.monotonic() - started < 5
--- a/tests/cli/test_waiting.py
+++ b/tests/cli/test_waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for a change to be in force."""
+"""Waiting until a change is active, and until a VM is drained."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
         ([status([], ["a"], ["b"], None)], 6, "not active after 0.5 s on: a"),
     ],
 )
-def test_wait_ends_only_when_no_reachable_process_is_behind(case, scripted, monkeypatch, capsys):
-    """Guards against reporting a change as in force while a process still acts on the old state."""
+def test_wait_succeeds_only_when_no_reachable_process_is_behind(case, start_entry_vm, monkeypatch, capsys):
+    """Guards against reporting a change as active while a process still acts on older state."""
     states, expected, text = case
     monkeypatch.setattr(waiting, "POLL_INTERVAL_S", 0.05)
-    entry = scripted(CHANGED, *states)
+    entry = start_entry_vm(CHANGED, *states)
     options = ["--entry", entry.url, "--token", "t" * 8, "zones", "withdraw", "Nashua"]
     assert main([*options, "--wait", "--wait-timeout", "0.5"]) == expected
     written = capsys.readouterr()
     assert text in written.out + written.err
-    assert all(request["path"] == "/v1/status?index=7" for request in entry.seen[1:])
+    assert all(request["path"] == "/v1/status?index=7" for request in entry.received_requests[1:])
 
 
 def vms(state: str, running: list[str]):
@@ -51,11 +51,11 @@
     ],
     ids=["emptied", "work does not end", "lost meanwhile", "not listed"],
 )
-def test_drain_is_waited_for_until_the_vm_is_empty(case, scripted, monkeypatch, capsys):
-    """Guards against a drain that is reported as ended while the VM still runs tasks."""
+def test_drain_wait_succeeds_only_when_the_vm_is_drained(case, start_entry_vm, monkeypatch, capsys):
+    """Guards against reporting a VM as drained while it still runs tasks."""
     states, expected, text = case
     monkeypatch.setattr(waiting, "POLL_INTERVAL_S", 0.05)
-    entry = scripted(vms("ready", []), CHANGED, *states)
+    entry = start_entry_vm(vms("ready", []), CHANGED, *states)
     options = ["--entry", entry.url, "--token", "t" * 8, "vms", "drain", "vm"]
     assert main([*options, "--wait", "--wait-timeout", "0.5"]) == expected
     written = capsys.readouterr()
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,1 +1,1 @@
-"""Whole sessions compared with golden files."""
+"""Tests that compare transcripts of whole sessions with golden files."""
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of an operator and of a caller."""
+"""Golden-file tests of whole sessions of operators and callers."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hyssopway_standins.fleet import EXAMPLES
 from hyssopway_standins.waiting import wait_until
 
-from .session import Session
+from .transcript import Transcript
 
 DOCUMENT = str(EXAMPLES / "pantry" / "document.yaml")
 
@@ -21,16 +21,16 @@
 
 
 async def test_operator_session(deployment, rewrite, tmp_path):
-    """Guards against an unnoticed change of what operators see and scripts read."""
+    """Guards against unintended changes of the output that operators read and scripts parse."""
     cli = CommandLine(deployment=deployment, operator="ana")
-    session = Session()
+    transcript = Transcript()
     changed = tmp_path / "changed.yaml"
     changed.write_text(
         (EXAMPLES / "pantry" / "document.yaml").read_text().replace("max_tries: 4", "max_tries: 5")
     )
     broken = tmp_path / "broken.yaml"
     broken.write_text("name: pantry\nzones: []\npools:\n  - name: restock\n    spares: true\n")
-    names = {DOCUMENT: "document.yaml", str(changed): "changed.yaml", str(broken): "broken.yaml"}
+    file_names = {DOCUMENT: "document.yaml", str(changed): "changed.yaml", str(broken): "broken.yaml"}
     key_id = ""
     for command in (
         f"check {DOCUMENT}",
@@ -60,15 +60,15 @@
         "explain request absent",
         "vms list",
     ):
-        done = await cli.run(*command.replace("KEY", key_id).split())
+        result = await cli.run(*command.replace("KEY", key_id).split())
         if command == "keys grant granite-hearth":
-            key_id = done.out.split("_")[1]
-        progress = [line for line in done.err.splitlines() if not line.startswith("active on")]
-        shown, out, err = command, done.out, "\n".join(progress)
-        for path, name in names.items():
+            key_id = result.out.split("_")[1]
+        progress = [line for line in result.err.splitlines() if not line.startswith("active on")]
+        shown, out, err = command, result.out, "\n".join(progress)
+        for path, name in file_names.items():
             shown, out, err = (text.replace(path, name) for text in (shown, out, err))
-        session.add(f"hyssopway {shown}", out, err, f"[{done.status}]")
-    session.compare("operator", rewrite=rewrite)
+        transcript.add(f"hyssopway {shown}", out, err, f"[{result.status}]")
+    transcript.compare("operator", rewrite=rewrite)
 
 
 FLEET_STEPS = (
@@ -101,17 +101,17 @@
 
 
 async def test_fleet_session(deployment, outside, operator, rewrite):
-    """Guards against an unnoticed change of what operators see while they maintain the fleet.
+    """Guards against unintended changes of the output of maintenance commands.
 
-    No platform is set, so the wave stays before its canary.
+    No platform is configured, so the wave never starts its canary.
     """
     cli = CommandLine(deployment=deployment, operator="ana")
-    session = Session()
+    transcript = Transcript()
     key = await operator.grant_key("granite-hearth")
 
-    async def reached(wanted):
+    async def has_reached(wanted_state):
         vms = {item["vm"]["name"]: item["vm"] for item in (await operator.get("/v1/vms"))["vms"]}
-        match wanted:
+        match wanted_state:
             case "registered":
                 return len(vms) == len(outside.workers)
             case "moved":
@@ -120,21 +120,21 @@
             case state:
                 return vms["restock-vm-1"]["state"] == state
 
-    await wait_until(lambda: reached("registered"))
-    for command, wanted in FLEET_STEPS:
+    await wait_until(lambda: has_reached("registered"))
+    for command, wanted_state in FLEET_STEPS:
         waves = (await operator.get("/v1/waves"))["waves"]
-        real = command.replace("WAVE", waves[0]["wave"] if waves else "")
-        done = await cli.run(*real.split(), key=key)
-        session.add(f"hyssopway {command}", done.out, done.err, f"[{done.status}]")
-        if wanted:
-            await wait_until(lambda state=wanted: reached(state))
-    session.compare("fleet", rewrite=rewrite)
+        actual_command = command.replace("WAVE", waves[0]["wave"] if waves else "")
+        result = await cli.run(*actual_command.split(), key=key)
+        transcript.add(f"hyssopway {command}", result.out, result.err, f"[{result.status}]")
+        if wanted_state:
+            await wait_until(lambda state=wanted_state: has_reached(state))
+    transcript.compare("fleet", rewrite=rewrite)
 
 
 async def test_caller_session(deployment, outside, operator, session, rewrite):
-    """Guards against an unnoticed change of the answers that callers and submitters get."""
+    """Guards against unintended changes of the responses to callers and submitters."""
     key = await operator.grant_key("casco-bay")
-    recorded = Session()
+    transcript = Transcript()
     job = {"task_kind": "plan", "pool": "restock", "resources": {"cores": 1}, "run_s": 1}
     steps = [
         ("POST", "/call/pickup-schedule/plan", {}, b"route"),
@@ -158,21 +158,23 @@
         ("GET", "/v1/absent", {}, None),
         ("GET", "/health", {}, None),
     ]
-    await _wait_served(session, operator.url, key=key)
+    await _wait_until_served(session, operator.url, key=key)
     for method, path, headers, body in steps:
-        async with session.request(method, operator.url + path, headers=headers, data=body) as answer:
-            text = await answer.text()
+        async with session.request(method, operator.url + path, headers=headers, data=body) as response:
+            text = await response.text()
         shown = "".join(f" {name}: {value}" for name, value in headers.items())
-        kept = {name: answer.headers[name] for name in ("Hyssopway-Replayed",) if name in answer.headers}
-        recorded.add(f"{method} {path}{shown}", f"{answer.status} {kept or ''}", text)
-    recorded.compare("caller", rewrite=rewrite)
+        compared_headers = {
+            name: response.headers[name] for name in ("Hyssopway-Replayed",) if name in response.headers
+        }
+        transcript.add(f"{method} {path}{shown}", f"{response.status} {compared_headers or ''}", text)
+    transcript.compare("caller", rewrite=rewrite)
 
 
-async def _wait_served(session, url: str, *, key: str) -> None:
+async def _wait_until_served(session, url: str, *, key: str) -> None:
     headers = {"Authorization": f"Bearer {key}"}
     for service in ("pickup-schedule", "restock-plan", "van-dispatch"):
         for attempt in range(100):
-            sent = headers | {"Idempotency-Key": f"warm-{attempt}"}
-            async with session.post(f"{url}/call/{service}", data=b"x", headers=sent) as answer:
-                if answer.status == 200:
+            request_headers = headers | {"Idempotency-Key": f"warm-{attempt}"}
+            async with session.post(f"{url}/call/{service}", data=b"x", headers=request_headers) as response:
+                if response.status == 200:
                     break
