--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -60,14 +60,14 @@
         "explain request absent",
         "vms list",
     ):
-        result = await cli.run(*command.replace("KEY", key_id).split())
+        done = await cli.run(*command.replace("KEY", key_id).split())
         if command == "keys grant granite-hearth":
-            key_id = result.out.split("_")[1]
-        progress = [line for line in result.err.splitlines() if not line.startswith("active on")]
-        shown, out, err = command, result.out, "\n".join(progress)
+            key_id = done.out.split("_")[1]
+        progress = [line for line in done.err.splitlines() if not line.startswith("active on")]
+        shown, out, err = command, done.out, "\n".join(progress)
         for path, name in file_names.items():
             shown, out, err = (text.replace(path, name) for text in (shown, out, err))
-        transcript.add(f"hyssopway {shown}", out, err, f"[{result.status}]")
+        transcript.add(f"hyssopway {shown}", out, err, f"[{done.status}]")
     transcript.compare("operator", rewrite=rewrite)
 
 
@@ -124,8 +124,8 @@
     for command, wanted_state in FLEET_STEPS:
         waves = (await operator.get("/v1/waves"))["waves"]
         actual_command = command.replace("WAVE", waves[0]["wave"] if waves else "")
-        result = await cli.run(*actual_command.split(), key=key)
-        transcript.add(f"hyssopway {command}", result.out, result.err, f"[{result.status}]")
+        done = await cli.run(*actual_command.split(), key=key)
+        transcript.add(f"hyssopway {command}", done.out, done.err, f"[{done.status}]")
         if wanted_state:
             await wait_until(lambda state=wanted_state: has_reached(state))
     transcript.compare("fleet", rewrite=rewrite)
