--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -20,7 +20,7 @@
 from hyssopway.fleet.waves import decide_waves
 from hyssopway.fleet.zone_steps import decide_zones
 from hyssopway.result import Failure, ResultCode
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 
 from .measurement import Measurement, Series
@@ -87,21 +87,23 @@
     """Runs a wave with five faults, and one VM after another with the same faults."""
     figures: dict[str, float] = {}
     for name, one_at_a_time in (("wave", False), ("one_by_one", True)):
-        driver = WaveDriver(agreed=AgreedStandIn.prepare_example(deployment), one_at_a_time=one_at_a_time)
-        failing = random.Random(seed).sample(sorted(driver.agreed.state.tables.vms), 3)
+        driver = WaveDriver(
+            state_machine=StateMachineStandIn.prepare_example(deployment), one_at_a_time=one_at_a_time
+        )
+        failing = random.Random(seed).sample(sorted(driver.state_machine.state.tables.vms), 3)
         wave_id, pauses = driver.start().wave_id, 0
         for number in range(4000):
-            wave = driver.agreed.state.tables.waves[wave_id]
+            wave = driver.state_machine.state.tables.waves[wave_id]
             if wave.status is WaveStatus.DONE:
                 break
             if wave.status is WaveStatus.PAUSED:
                 pauses += 1
-                driver.agreed.apply(_resume(wave))
+                driver.state_machine.apply(_resume(wave))
             _inject(driver, failing=failing, number=number)
             driver.run_round()
-        wave = driver.agreed.state.tables.waves[wave_id]
+        wave = driver.state_machine.state.tables.waves[wave_id]
         prefix = f"{deployment}_{name}"
-        figures[f"{prefix}_roll_out_s"] = driver.agreed.now_ms / 1000
+        figures[f"{prefix}_roll_out_s"] = driver.state_machine.now_ms / 1000
         figures[f"{prefix}_pauses"] = float(pauses)
         figures[f"{prefix}_finished"] = float(wave.status is WaveStatus.DONE)
         figures[f"{prefix}_maintained_vms"] = float(wave.count(WaveVmStatus.DONE))
@@ -132,8 +134,8 @@
             driver.change(quarantined, VmState.QUARANTINED)
         case 40:
             state = ControlState()
-            state.restore_snapshot(driver.agreed.state.encode_snapshot())
-            driver.agreed.state = state
+            state.restore_snapshot(driver.state_machine.state.encode_snapshot())
+            driver.state_machine.state = state
         case 50 | 80:
             driver.repeat_steps = number == 50
         case 70:
@@ -144,17 +146,19 @@
 
 def _measure_zone(deployment: str, *, seed: int) -> dict[str, float]:
     """Withdraws and returns a zone at a demand of 0.8 of each pool, with failures mixed in."""
-    driver = WaveDriver(agreed=AgreedStandIn.prepare_example(deployment))
+    driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example(deployment))
     rng = random.Random(seed)
-    zone = rng.choice(sorted(driver.agreed.state.tables.zones))
+    zone = rng.choice(sorted(driver.state_machine.state.tables.zones))
     demand = {pool: 0.8 * size for pool, size in _count_ready(driver, outside="").items()}
-    failing = rng.sample([vm.name for vm in driver.agreed.state.tables.vms.values() if vm.zone != zone], 5)
+    failing = rng.sample(
+        [vm.name for vm in driver.state_machine.state.tables.vms.values() if vm.zone != zone], 5
+    )
     last_return_ms: dict[str, int] = {}
     done = without_moves = possible = 0.0
     for number in range(400):
         if number in (10, 150):
             status = ZoneStatus.WITHDRAWN if number == 10 else ZoneStatus.RETURNING
-            driver.agreed.apply(
+            driver.state_machine.apply(
                 SetZone(zone=zone, status=status, request_id=f"z{number}", operator="operator")
             )
         if number % 50 == 25 and number // 50 < len(failing):
@@ -162,33 +166,33 @@
         if number % 50 == 45 and number // 50 < len(failing):
             driver.change(failing[number // 50], VmState.READY)
         for step in decide_zones(
-            driver.agreed.state, now_ms=driver.agreed.now_ms, last_return_ms=last_return_ms
+            driver.state_machine.state, now_ms=driver.state_machine.now_ms, last_return_ms=last_return_ms
         ):
-            driver.agreed.apply(step)
+            driver.state_machine.apply(step)
         driver.run_round()
         if number < 10 or (number > 150 and not _is_changing(driver, zone=zone)):
             continue
-        closed = driver.agreed.state.tables.zones[zone].status is ZoneStatus.WITHDRAWN
+        closed = driver.state_machine.state.tables.zones[zone].status is ZoneStatus.WITHDRAWN
         ready = _count_ready(driver, outside=zone if closed else "")
         own = _count_ready(driver, outside=zone if closed else "", borrowed=False)
         done += sum(min(demand[pool], ready[pool]) for pool in demand)
         without_moves += sum(min(demand[pool], own[pool]) for pool in demand)
         remaining = [
             vm
-            for vm in driver.agreed.state.tables.vms.values()
+            for vm in driver.state_machine.state.tables.vms.values()
             if vm.state is not VmState.DOWN and not (closed and vm.zone == zone)
         ]
         possible += min(sum(demand.values()), float(len(remaining)))
     return {
         f"{deployment}_zone_work_share": done / possible,
         f"{deployment}_zone_without_moves_work_share": without_moves / possible,
-        f"{deployment}_zone_permits_left": float(len(driver.agreed.state.tables.permits)),
+        f"{deployment}_zone_permits_left": float(len(driver.state_machine.state.tables.permits)),
     }
 
 
 def _is_changing(driver: WaveDriver, *, zone: str) -> bool:
     """Tells whether a zone is still on its way back, borrowed VMs included."""
-    tables = driver.agreed.state.tables
+    tables = driver.state_machine.state.tables
     status = tables.zones[zone].status
     return status is not ZoneStatus.OPEN or any(
         permit.holder == f"withdrawal of {zone}" for permit in tables.permits.values()
@@ -197,7 +201,7 @@
 
 def _count_ready(driver: WaveDriver, *, outside: str, borrowed: bool = True) -> dict[str, int]:
     """Counts the VMs by pool that may take work."""
-    state = driver.agreed.state
+    state = driver.state_machine.state
     document = state.document()
     ready = {pool.name: 0 for pool in document.pools if not pool.spare} if document else {}
     for vm in state.tables.vms.values():
@@ -216,13 +220,13 @@
     `tasks` move no VM: spare VMs run the checkpointable part of other pools' work, without cost for its
     start and its checkpoint, so their figures are upper bounds.
     """
-    driver = WaveDriver(agreed=AgreedStandIn.prepare_example(deployment))
+    driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example(deployment))
     driver.drain_ms = 0 if buffer == "no_drain" else driver.drain_ms
     policy = {"survive_zone": False, "survive_rack": True, "lend": buffer in ("lent", "at_once", "no_drain")}
-    driver.agreed.change_document(driver.agreed.data | {"buffer": policy})
+    driver.state_machine.change_document(driver.state_machine.data | {"buffer": policy})
     rng = random.Random(seed)
     pools = _count_ready(driver, outside="")
-    spares = len(driver.agreed.state.tables.vms) - sum(pools.values())
+    spares = len(driver.state_machine.state.tables.vms) - sum(pools.values())
     demand, smoothed = dict.fromkeys(pools, 0.0), Demand()
     wanted = served = idle_s = moves = 0.0
     failing = ""
@@ -234,7 +238,7 @@
             for pool, size in pools.items()
         }
         if number % 40 == 20:
-            failing = rng.choice(sorted(driver.agreed.state.tables.vms))
+            failing = rng.choice(sorted(driver.state_machine.state.tables.vms))
             driver.change(failing, VmState.DOWN)
         if number % 40 == 35:
             driver.change(failing, VmState.READY)
@@ -249,9 +253,9 @@
             if buffer in ("at_once", "no_drain"):
                 smoothed.cores = dict(waiting)
             else:
-                smoothed.add_sample(waiting=waiting, now=driver.agreed.now_ms / 1000)
-            for command in decide_lending(driver.agreed.state, demand=smoothed):
-                moves += driver.agreed.apply(command).failure is None
+                smoothed.add_sample(waiting=waiting, now=driver.state_machine.now_ms / 1000)
+            for command in decide_lending(driver.state_machine.state, demand=smoothed):
+                moves += driver.state_machine.apply(command).failure is None
         work = {pool: min(demand[pool], ready[pool]) for pool in pools}
         # VMs that the pools would have without any spare are no buffer.
         used = sum(max(0.0, work[pool] - pools[pool]) for pool in pools)
@@ -269,7 +273,7 @@
 
 def _count_ready_spares(driver: WaveDriver) -> int:
     """Counts the spare VMs that may take work."""
-    state = driver.agreed.state
+    state = driver.state_machine.state
     document = state.document()
     spare = {pool.name for pool in document.pools if pool.spare} if document else set()
     return sum(vm.pool in spare and vm.state is VmState.READY for vm in state.tables.vms.values())
@@ -291,19 +295,21 @@
     """Yields size, wave rounds a second, memory of the agreed state in MB and ms of a controller round."""
     for size in sizes:
         tracemalloc.start()
-        driver = WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"))
-        pools = sorted({vm.pool for vm in driver.agreed.state.tables.vms.values()})
-        zones = sorted(driver.agreed.state.tables.zones)
+        driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example("pantry"))
+        pools = sorted({vm.pool for vm in driver.state_machine.state.tables.vms.values()})
+        zones = sorted(driver.state_machine.state.tables.zones)
         for number in range(size - 40):
             zone = zones[number % len(zones)]
             rack = f"{zone}-rack-{number // 40}"
-            driver.agreed.register(f"vm-{number}", zone=zone, rack=rack, pool=pools[number % len(pools)])
+            driver.state_machine.register(
+                f"vm-{number}", zone=zone, rack=rack, pool=pools[number % len(pools)]
+            )
         memory_mb = tracemalloc.get_traced_memory()[0] / 1e6
         tracemalloc.stop()
         wave = driver.start()
         rounds, started = 0, time.perf_counter()
         while time.perf_counter() - started < 1.0:
-            decide_waves(driver.agreed.state, now_ms=5000, returned=())
+            decide_waves(driver.state_machine.state, now_ms=5000, returned=())
             rounds += 1
         elapsed_s = time.perf_counter() - started
         yield len(wave.vms), rounds / elapsed_s, memory_mb, _time_round(driver, zone=zones[0])
@@ -318,10 +324,10 @@
     async def refuse(*_: Any, **__: Any) -> Result[Outcome, Failure]:
         return Error(Failure(code=ResultCode.NOT_LEADER, message="measured without a group"))
 
-    driver.agreed.apply(
+    driver.state_machine.apply(
         SetZone(zone=zone, status=ZoneStatus.WITHDRAWN, request_id="measure", operator="operator")
     )
-    replica: Any = SimpleNamespace(state=driver.agreed.state)
+    replica: Any = SimpleNamespace(state=driver.state_machine.state)
     submitter: Any = SimpleNamespace(submit=refuse)
     rebooter: Any = SimpleNamespace(reconcile=lambda _: None, returned=())
     controller = FleetController(
@@ -329,7 +335,7 @@
         submitter=submitter,
         leads=lambda: True,
         clock=time.monotonic,
-        now_ms=lambda: driver.agreed.now_ms,
+        now_ms=lambda: driver.state_machine.now_ms,
         rebooter=rebooter,
     )
     longest_s = 0.0
--- a/src/hyssopway_standins/agreed.py
+++ b/src/hyssopway_standins/state_machine.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class AgreedStandIn:
+class StateMachineStandIn:
     """Applies commands at once, at a time that the caller sets.
 
     Attributes:
@@ -35,21 +35,21 @@
     data: dict[str, Any] = field(default_factory=dict)
 
     @staticmethod
-    def prepare(*, data: dict[str, Any]) -> AgreedStandIn:
+    def prepare(*, data: dict[str, Any]) -> StateMachineStandIn:
         """Puts a document in force."""
-        agreed = AgreedStandIn()
-        agreed.change_document(data)
-        return agreed
+        state_machine = StateMachineStandIn()
+        state_machine.change_document(data)
+        return state_machine
 
     @staticmethod
-    def prepare_example(deployment: str) -> AgreedStandIn:
+    def prepare_example(deployment: str) -> StateMachineStandIn:
         """Puts an example document in force and registers its VMs."""
         text = (EXAMPLES / deployment / "document.yaml").read_text()
-        agreed = AgreedStandIn.prepare(data=yaml.safe_load(text))
+        state_machine = StateMachineStandIn.prepare(data=yaml.safe_load(text))
         sizes = load_sizes(deployment)
         for place in place_vms(document=load_example_document(deployment), sizes=sizes):
-            agreed.register(place.name, zone=place.zone, rack=place.rack, pool=place.pool)
-        return agreed
+            state_machine.register(place.name, zone=place.zone, rack=place.rack, pool=place.pool)
+        return state_machine
 
     def apply(self, command: Command) -> Outcome:
         """Applies one command."""
@@ -99,4 +99,4 @@
         return self.state.tables.vms[name]
 
 
-__all__ = ["AgreedStandIn"]
+__all__ = ["StateMachineStandIn"]
--- a/src/hyssopway_standins/wave_driver.py
+++ b/src/hyssopway_standins/wave_driver.py
@@ -11,7 +11,7 @@
 from hyssopway.fleet.drains import decide_moves
 from hyssopway.fleet.waves import decide_waves
 
-from .agreed import AgreedStandIn
+from .state_machine import StateMachineStandIn
 
 if TYPE_CHECKING:
     from hyssopway.control.record import Vm, Wave
@@ -22,7 +22,7 @@
     """Stands in for home entries, workers and platform, and counts what was really done.
 
     Attributes:
-        agreed: Agreed state.
+        state_machine: Applies the commands of the decisions.
         drain_ms: Time until a VM is empty.
         reboot_ms: Time until a rebooted VM syncs again.
         one_at_a_time: Plain baseline that stops a VM only when no other one is stopped.
@@ -34,7 +34,7 @@
         returned: Waves and VMs that are back.
     """
 
-    agreed: AgreedStandIn
+    state_machine: StateMachineStandIn
     drain_ms: int = 20_000
     reboot_ms: int = 60_000
     round_ms: int = 5_000
@@ -48,9 +48,11 @@
 
     def start(self, *pools: str) -> Wave:
         """Starts a wave."""
-        index = self.agreed.state.applied_index
-        outcome = self.agreed.apply(StartWave(pools=list(pools), request_id=f"w{index}", operator="operator"))
-        return self.agreed.state.tables.waves[outcome.reference]
+        index = self.state_machine.state.applied_index
+        outcome = self.state_machine.apply(
+            StartWave(pools=list(pools), request_id=f"w{index}", operator="operator")
+        )
+        return self.state_machine.state.tables.waves[outcome.reference]
 
     def run(self, wave: Wave, *, rounds: int = 4000) -> None:
         """Runs rounds until the wave is not running."""
@@ -61,13 +63,13 @@
 
     def run_round(self) -> None:
         """Makes one round of the leader and of everything around it."""
-        state = self.agreed.state
-        self.agreed.now_ms += self.round_ms
-        steps = decide_waves(state, now_ms=self.agreed.now_ms, returned=self.returned)
+        state = self.state_machine.state
+        self.state_machine.now_ms += self.round_ms
+        steps = decide_waves(state, now_ms=self.state_machine.now_ms, returned=self.returned)
         for step in [*steps, *(steps if self.repeat_steps else [])]:
             if self._is_held_back(step):
                 continue
-            refused = self.agreed.apply(step).failure
+            refused = self.state_machine.apply(step).failure
             if (
                 isinstance(step, AdvanceWave)
                 and step.status is WaveVmStatus.REBOOTING
@@ -75,9 +77,9 @@
                 and step.vm not in self.never_return
             ):
                 self.reboots[step.vm] += 1
-                self.rebooting[step.vm] = self.agreed.now_ms + self.reboot_ms
+                self.rebooting[step.vm] = self.state_machine.now_ms + self.reboot_ms
         for move in decide_moves(state):
-            self.agreed.apply(move)
+            self.state_machine.apply(move)
         self._empty_vms()
         self._boot_vms()
         down = Counter(vm.pool for vm in state.tables.vms.values() if vm.state is not VmState.READY)
@@ -85,31 +87,31 @@
 
     def change(self, vm: str, state: VmState) -> None:
         """Reports a state of a VM."""
-        epoch = self.agreed.vm(vm).epoch
-        self.agreed.apply(ChangeVm(vm=vm, state=state, expected_epoch=epoch, reason="driver"))
+        epoch = self.state_machine.vm(vm).epoch
+        self.state_machine.apply(ChangeVm(vm=vm, state=state, expected_epoch=epoch, reason="driver"))
 
     def _is_held_back(self, step: AdvanceWave | ControlWave) -> bool:
         if not self.one_at_a_time or not isinstance(step, AdvanceWave):
             return False
-        return step.status is WaveVmStatus.DRAINING and bool(self.agreed.state.tables.permits)
+        return step.status is WaveVmStatus.DRAINING and bool(self.state_machine.state.tables.permits)
 
     def _empty_vms(self) -> None:
-        tables = self.agreed.state.tables
+        tables = self.state_machine.state.tables
         for permit in list(tables.permits.values()):
-            empty = self.agreed.now_ms - permit.at_ms >= self.drain_ms
+            empty = self.state_machine.now_ms - permit.at_ms >= self.drain_ms
             if tables.vms[permit.vm].state is VmState.DRAINING and empty:
                 self.change(permit.vm, VmState.DRAINED)
 
     def _boot_vms(self) -> None:
         for name, at_ms in list(self.rebooting.items()):
-            if at_ms <= self.agreed.now_ms:
+            if at_ms <= self.state_machine.now_ms:
                 del self.rebooting[name]
-                self._boot(self.agreed.vm(name))
+                self._boot(self.state_machine.vm(name))
 
     def _boot(self, vm: Vm) -> None:
-        boot_id = f"boot-{self.agreed.state.applied_index}"
-        self.agreed.register(vm.name, zone=vm.zone, rack=vm.rack, pool=vm.pool, boot_id=boot_id)
-        waves = self.agreed.state.tables.waves
+        boot_id = f"boot-{self.state_machine.state.applied_index}"
+        self.state_machine.register(vm.name, zone=vm.zone, rack=vm.rack, pool=vm.pool, boot_id=boot_id)
+        waves = self.state_machine.state.tables.waves
         self.returned |= {(wave, vm.name) for wave in waves}
 
 
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -7,6 +7,6 @@
 
 
 @pytest.fixture
-def agreed():
+def state_machine():
     """A small fleet in agreed state."""
     return small_fleet()
--- a/tests/control/small_fleet.py
+++ b/tests/control/small_fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 
 BUDGET = {"max_down": 2, "max_down_per_rack": 1, "max_down_per_zone": 2}
 
@@ -21,9 +21,9 @@
 
 
 def small_fleet(**budget):
-    agreed = AgreedStandIn.prepare(data=small_document(**budget))
+    state_machine = StateMachineStandIn.prepare(data=small_document(**budget))
     for pool in ("web", "batch", "spare"):
         for number in range(8):
             zone = ("east", "west")[number % 2]
-            agreed.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
-    return agreed
+            state_machine.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
+    return state_machine
--- a/tests/control/test_fleet_machine.py
+++ b/tests/control/test_fleet_machine.py
@@ -35,30 +35,30 @@
 
     def __init__(self):
         super().__init__()
-        self.agreed = small_fleet()
-        self.pools = {name: vm.pool for name, vm in self.agreed.state.tables.vms.items()}
+        self.state_machine = small_fleet()
+        self.pools = {name: vm.pool for name, vm in self.state_machine.state.tables.vms.items()}
 
     def operate(self, kind, vm, **fields):
         """Applies an operator's command."""
-        index = self.agreed.state.applied_index
-        common = {"vm": vm, "expected_epoch": self.agreed.vm(vm).epoch, "operator": "kim"}
-        return self.agreed.apply(kind(**common, request_id=f"r{index}", **fields)).failure is None
+        index = self.state_machine.state.applied_index
+        common = {"vm": vm, "expected_epoch": self.state_machine.vm(vm).epoch, "operator": "kim"}
+        return self.state_machine.apply(kind(**common, request_id=f"r{index}", **fields)).failure is None
 
     def stop(self, vm, ask):
         """Makes a planned stop and checks the count that allowed it."""
-        known = self.agreed.vm(vm)
-        vms = list(self.agreed.state.tables.vms.values())
+        known = self.state_machine.vm(vm)
+        vms = list(self.state_machine.state.tables.vms.values())
         down = [v for v in vms if v.state is not VmState.READY and v.pool == known.pool and v.name != vm]
-        held_before = vm in self.agreed.state.tables.permits
+        held_before = vm in self.state_machine.state.tables.permits
         granted = ask()
         if not granted or held_before:
             return
-        purpose = self.agreed.state.tables.permits[vm].purpose
+        purpose = self.state_machine.state.tables.permits[vm].purpose
         assert len(down) < BUDGET["max_down"]
         if purpose is not PermitPurpose.WITHDRAWAL:
             assert not any((v.zone, v.rack) == (known.zone, known.rack) for v in down)
         else:
-            assert self.agreed.state.tables.zones[known.zone].status is ZoneStatus.WITHDRAWN
+            assert self.state_machine.state.tables.zones[known.zone].status is ZoneStatus.WITHDRAWN
         failed = Counter(v.pool for v in vms if v.state is VmState.DOWN)
         assert max(failed.values(), default=0) <= BUDGET["max_down"]
 
@@ -79,29 +79,29 @@
             vm=vm,
             purpose=PermitPurpose.WITHDRAWAL,
             holder="withdrawal",
-            expected_epoch=self.agreed.vm(vm).epoch,
+            expected_epoch=self.state_machine.vm(vm).epoch,
         )
-        self.stop(vm, lambda: self.agreed.apply(command).failure is None)
+        self.stop(vm, lambda: self.state_machine.apply(command).failure is None)
 
     @rule(vm=VMS, state=st.sampled_from(list(VmState)))
     def change(self, vm, state):
         """A VM fails, returns or reports a state."""
-        epoch = self.agreed.vm(vm).epoch
-        self.agreed.apply(ChangeVm(vm=vm, state=state, expected_epoch=epoch, reason="rule"))
+        epoch = self.state_machine.vm(vm).epoch
+        self.state_machine.apply(ChangeVm(vm=vm, state=state, expected_epoch=epoch, reason="rule"))
 
     @rule(vm=VMS, pool=POOLS)
     def move(self, vm, pool):
         """The leader makes a move."""
-        known = self.agreed.vm(vm)
+        known = self.state_machine.vm(vm)
         before = self.down_in(pool)
         command = MoveVm(vm=vm, target=pool, expected_epoch=known.epoch, reason="rule")
-        if self.agreed.apply(command).failure is None:
+        if self.state_machine.apply(command).failure is None:
             self.pools[vm] = pool
             assert self.down_in(pool) <= max(before, BUDGET["max_down"])
 
     def pick(self, state, number):
         """Returns a VM in a state, so that long sequences get further than by chance."""
-        names = sorted(vm.name for vm in self.agreed.state.tables.vms.values() if vm.state is state)
+        names = sorted(vm.name for vm in self.state_machine.state.tables.vms.values() if vm.state is state)
         return names[number % len(names)] if names else None
 
     @rule(number=st.integers(0, 7))
@@ -133,53 +133,55 @@
     @rule(zone=st.sampled_from(["east", "west"]), status=st.sampled_from(list(ZoneStatus)))
     def set_zone(self, zone, status):
         """An operator withdraws or returns a zone."""
-        index = self.agreed.state.applied_index
-        self.agreed.apply(SetZone(zone=zone, status=status, request_id=f"z{index}", operator="kim"))
+        index = self.state_machine.state.applied_index
+        self.state_machine.apply(SetZone(zone=zone, status=status, request_id=f"z{index}", operator="kim"))
 
     @rule(pools=st.lists(POOLS, max_size=2, unique=True))
     def start_wave(self, pools):
         """An operator starts a wave."""
-        waves = self.agreed.state.tables.waves
+        waves = self.state_machine.state.tables.waves
         busy = any(is_active(wave) for wave in waves.values())
-        index = self.agreed.state.applied_index
+        index = self.state_machine.state.applied_index
         command = StartWave(pools=pools, request_id=f"w{index}", operator="kim")
-        assert (self.agreed.apply(command).failure is None) == (not busy)
+        assert (self.state_machine.apply(command).failure is None) == (not busy)
 
     @rule(vm=VMS, status=st.sampled_from(list(WaveVmStatus)), replacement=VMS)
     def advance_wave(self, vm, status, replacement):
         """The leader, or an older one, takes a VM to a step of the last wave."""
-        waves = list(self.agreed.state.tables.waves.values())
+        waves = list(self.state_machine.state.tables.waves.values())
         if not waves:
             return
         command = AdvanceWave(
             wave=waves[-1].wave_id,
             vm=vm,
             status=status,
-            expected_epoch=self.agreed.vm(vm).epoch,
+            expected_epoch=self.state_machine.vm(vm).epoch,
             reason="rule",
             replacement=replacement,
         )
         stopped = replacement if status is WaveVmStatus.REPLACED else vm
         # Only these two steps take a permit; the others may return one.
         if status in (WaveVmStatus.DRAINING, WaveVmStatus.REPLACED):
-            self.stop(stopped, lambda: self.agreed.apply(command).failure is None)
+            self.stop(stopped, lambda: self.state_machine.apply(command).failure is None)
         else:
-            self.agreed.apply(command)
+            self.state_machine.apply(command)
 
     @rule(vm=VMS, boot=st.integers(0, 2))
     def sync(self, vm, boot):
         """A worker syncs, perhaps as a new process."""
-        known = self.agreed.vm(vm)
-        self.agreed.register(vm, zone=known.zone, rack=known.rack, pool=known.pool, boot_id=f"boot-{boot}")
+        known = self.state_machine.vm(vm)
+        self.state_machine.register(
+            vm, zone=known.zone, rack=known.rack, pool=known.pool, boot_id=f"boot-{boot}"
+        )
 
     @rule(action=st.sampled_from(list(WaveAction)))
     def control_wave(self, action):
         """An operator controls the last wave."""
-        waves = list(self.agreed.state.tables.waves.values())
+        waves = list(self.state_machine.state.tables.waves.values())
         for wave in waves[-1:]:
-            self.agreed.apply(
+            self.state_machine.apply(
                 ControlWave(
-                    request_id=f"c{self.agreed.state.applied_index}",
+                    request_id=f"c{self.state_machine.state.applied_index}",
                     operator="kim",
                     wave=wave.wave_id,
                     action=action,
@@ -189,25 +191,25 @@
 
     def down_in(self, pool):
         """Counts the VMs of a pool that are not ready."""
-        vms = self.agreed.state.tables.vms.values()
+        vms = self.state_machine.state.tables.vms.values()
         return sum(vm.pool == pool and vm.state is not VmState.READY for vm in vms)
 
     @invariant()
     def each_vm_is_in_the_pool_of_its_last_move(self):
         """Guards against a VM in two pools or in none."""
-        assert {name: vm.pool for name, vm in self.agreed.state.tables.vms.items()} == self.pools
+        assert {name: vm.pool for name, vm in self.state_machine.state.tables.vms.items()} == self.pools
 
     @invariant()
     def planned_stops_alone_keep_each_budget(self):
         """Guards against a second permit at once."""
-        tables = self.agreed.state.tables
+        tables = self.state_machine.state.tables
         planned = Counter(tables.vms[vm].pool for vm in tables.permits)
         assert max(planned.values(), default=0) <= BUDGET["max_down"]
 
     @invariant()
     def wave_holds_the_permits_of_its_steps(self):
         """Guards against a permit of a wave that nobody returns, and against a reboot without one."""
-        tables = self.agreed.state.tables
+        tables = self.state_machine.state.tables
         in_progress = (WaveVmStatus.DRAINING, WaveVmStatus.REBOOTING)
         steps = {(wave.wave_id, vm) for wave in tables.waves.values() for vm in wave.select(*in_progress)}
         permits = tables.permits.values()
@@ -219,7 +221,7 @@
     @invariant()
     def stopped_vm_has_a_permit(self):
         """Guards against a VM that nobody puts back to work."""
-        tables = self.agreed.state.tables
+        tables = self.state_machine.state.tables
         for vm in tables.vms.values():
             stopped = vm.state in (VmState.DRAINING, VmState.DRAINED, VmState.REBOOTING)
             assert not stopped or vm.name in tables.permits
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -12,51 +12,59 @@
 from hyssopway.control.record import DrainDecision, VmState
 from hyssopway.fleet import FleetController
 from hyssopway.fleet.drains import decide_moves, find_overdue_drains
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 
 VM = "restock-vm-1"
 
 
 @pytest.fixture
-def agreed():
-    return AgreedStandIn.prepare_example("pantry")
-
-
-def operate(agreed, kind, **fields):
-    outcome = agreed.apply(
-        kind(vm=VM, expected_epoch=agreed.vm(VM).epoch, request_id=kind.__name__, operator="kim", **fields)
+def state_machine():
+    return StateMachineStandIn.prepare_example("pantry")
+
+
+def operate(state_machine, kind, **fields):
+    outcome = state_machine.apply(
+        kind(
+            vm=VM,
+            expected_epoch=state_machine.vm(VM).epoch,
+            request_id=kind.__name__,
+            operator="kim",
+            **fields,
+        )
     )
     assert outcome.failure is None
 
 
-def change(agreed, *states):
+def change(state_machine, *states):
     for state in states:
-        agreed.apply(ChangeVm(vm=VM, state=state, expected_epoch=agreed.vm(VM).epoch, reason="test"))
+        state_machine.apply(
+            ChangeVm(vm=VM, state=state, expected_epoch=state_machine.vm(VM).epoch, reason="test")
+        )
 
 
 # States that the VM went through, whether it is under a permit, its silence, and the next state.
-def test_move_is_made_once_the_vm_is_empty(agreed):
+def test_move_is_made_once_the_vm_is_empty(state_machine):
     """Guards against a move that a new leader forgets."""
-    operate(agreed, RequestMove, target="pickup")
-    assert not decide_moves(agreed.state)
-    change(agreed, VmState.DRAINED)
-    (move,) = decide_moves(agreed.state)
-    agreed.apply(move)
-    assert (agreed.vm(VM).pool, agreed.vm(VM).state) == ("pickup", VmState.READY)
-    assert not decide_moves(agreed.state)
+    operate(state_machine, RequestMove, target="pickup")
+    assert not decide_moves(state_machine.state)
+    change(state_machine, VmState.DRAINED)
+    (move,) = decide_moves(state_machine.state)
+    state_machine.apply(move)
+    assert (state_machine.vm(VM).pool, state_machine.vm(VM).state) == ("pickup", VmState.READY)
+    assert not decide_moves(state_machine.state)
 
 
-def test_move_to_a_dropped_pool_is_taken_back(agreed):
+def test_move_to_a_dropped_pool_is_taken_back(state_machine):
     """Guards against a VM that stays drained because its new pool no longer exists."""
-    operate(agreed, RequestMove, target="pickup")
-    change(agreed, VmState.DRAINED)
-    data = agreed.data
+    operate(state_machine, RequestMove, target="pickup")
+    change(state_machine, VmState.DRAINED)
+    data = state_machine.data
     data["pools"] = [pool for pool in data["pools"] if pool["name"] != "pickup"]
     data["services"] = [service for service in data["services"] if service["pool"] != "pickup"]
-    agreed.change_document(data)
-    for command in decide_moves(agreed.state):
-        agreed.apply(command)
-    assert agreed.vm(VM).state is VmState.READY
+    state_machine.change_document(data)
+    for command in decide_moves(state_machine.state):
+        state_machine.apply(command)
+    assert state_machine.vm(VM).state is VmState.READY
 
 
 @pytest.mark.parametrize(
@@ -67,41 +75,43 @@
         (601_000, (VmState.DRAINED,), False),
     ],
 )
-def test_drain_that_does_not_end_is_found(agreed, after_ms, states, overdue):
+def test_drain_that_does_not_end_is_found(state_machine, after_ms, states, overdue):
     """Guards against a drain that blocks its budget without anybody knowing."""
-    operate(agreed, DrainVm)
-    change(agreed, *states)
-    assert [permit.vm for permit in find_overdue_drains(agreed.state, now_ms=after_ms)] == [VM] * overdue
+    operate(state_machine, DrainVm)
+    change(state_machine, *states)
+    assert [permit.vm for permit in find_overdue_drains(state_machine.state, now_ms=after_ms)] == [
+        VM
+    ] * overdue
 
 
-async def test_question_about_a_drain_is_asked_once_over_two_leaders(agreed):
+async def test_question_about_a_drain_is_asked_once_over_two_leaders(state_machine):
     """Guards against a new leader that asks again, and against silence after the operator waited on."""
     lines = []
     sink = logger.add(lines.append, level="WARNING")
-    operate(agreed, DrainVm)
-    agreed.now_ms = 601_000
-    leaders = [make_controller(agreed) for _ in range(2)]
+    operate(state_machine, DrainVm)
+    state_machine.now_ms = 601_000
+    leaders = [make_controller(state_machine) for _ in range(2)]
     for leader in [leaders[0], leaders[0], leaders[1], leaders[1]]:
         await leader.control_once()
     assert len(lines) == 1
-    operate(agreed, DecideDrain, decision=DrainDecision.WAIT)
+    operate(state_machine, DecideDrain, decision=DrainDecision.WAIT)
     await leaders[1].control_once()
     assert len(lines) == 1
-    agreed.now_ms += 601_000
+    state_machine.now_ms += 601_000
     await leaders[1].control_once()
     logger.remove(sink)
     assert len(lines) == 2
 
 
-def make_controller(agreed):
+def make_controller(state_machine):
     async def submit(command, timeout_s):
-        outcome = agreed.apply(command)
+        outcome = state_machine.apply(command)
         return Error(outcome.failure) if outcome.failure else Ok(outcome)
 
     return FleetController(
-        replica=SimpleNamespace(state=agreed.state),
+        replica=SimpleNamespace(state=state_machine.state),
         submitter=SimpleNamespace(submit=submit),
         leads=lambda: True,
         clock=lambda: 0.0,
-        now_ms=lambda: agreed.now_ms,
+        now_ms=lambda: state_machine.now_ms,
     )
--- a/tests/fleet/test_lending.py
+++ b/tests/fleet/test_lending.py
@@ -10,30 +10,30 @@
 from hyssopway.control.record import VmState, ZoneStatus
 from hyssopway.fleet.demand import Demand, count_waiting_cores
 from hyssopway.fleet.lending import decide_lending, required_spare
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 from states import make_submitter
 
 
 @pytest.fixture
 def driver():
-    return WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"))
+    return WaveDriver(state_machine=StateMachineStandIn.prepare_example("pantry"))
 
 
 def run(driver, *, rounds, waiting, demand):
     """Runs rounds with a demand in cores and returns the moves asked for."""
     moves = []
     for _ in range(rounds):
-        demand.add_sample(waiting=waiting, now=driver.agreed.now_ms / 1000)
-        commands = decide_lending(driver.agreed.state, demand=demand)
-        assert [driver.agreed.apply(command).failure for command in commands] == [None] * len(commands)
+        demand.add_sample(waiting=waiting, now=driver.state_machine.now_ms / 1000)
+        commands = decide_lending(driver.state_machine.state, demand=demand)
+        assert [driver.state_machine.apply(command).failure for command in commands] == [None] * len(commands)
         moves.extend((command.vm, command.target) for command in commands)
         driver.run_round()
     return moves
 
 
 def size(driver, pool):
-    return sum(vm.pool == pool for vm in driver.agreed.state.tables.vms.values())
+    return sum(vm.pool == pool for vm in driver.state_machine.state.tables.vms.values())
 
 
 def test_spare_vms_are_lent_and_go_back(driver):
@@ -41,7 +41,7 @@
     demand = Demand()
     moves = run(driver, rounds=40, waiting={"pickup": 256.0}, demand=demand)
     assert {target for _, target in moves} == {"pickup"}
-    zones = Counter(vm.zone for vm in driver.agreed.state.tables.vms.values() if vm.pool == "pickup")
+    zones = Counter(vm.zone for vm in driver.state_machine.state.tables.vms.values() if vm.pool == "pickup")
     assert max(zones.values()) - min(zones.values()) <= 1
     run(driver, rounds=120, waiting={}, demand=demand)
     assert (size(driver, "pickup"), size(driver, "back-office")) == (8, 8)
@@ -64,7 +64,7 @@
             driver.start()
         case "zone":
             zone = SetZone(zone="Nashua", status=ZoneStatus.WITHDRAWN, request_id="z", operator="kim")
-            driver.agreed.apply(zone)
+            driver.state_machine.apply(zone)
         case "failures":
             for number in (1, 2, 3):
                 driver.change(f"restock-vm-{number}", VmState.DOWN)
@@ -81,10 +81,10 @@
 )
 def test_buffer_of_the_policy_is_not_lent(driver, policy, kept):
     """Guards against spare VMs that are gone when the loss comes that they are for."""
-    driver.agreed.change_document(driver.agreed.data | {"buffer": policy})
-    document = driver.agreed.state.document()
+    driver.state_machine.change_document(driver.state_machine.data | {"buffer": policy})
+    document = driver.state_machine.state.document()
     if kept:
-        assert required_spare(driver.agreed.state, document=document, spare="back-office") == kept
+        assert required_spare(driver.state_machine.state, document=document, spare="back-office") == kept
     run(driver, rounds=200, waiting={"pickup": 5000.0}, demand=Demand())
     assert size(driver, "back-office") == kept
 
--- a/tests/fleet/test_rebooter.py
+++ b/tests/fleet/test_rebooter.py
@@ -9,7 +9,7 @@
 
 from hyssopway.control.record import WaveVmStatus
 from hyssopway.fleet.rebooter import Rebooter
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 
 
@@ -23,11 +23,13 @@
 @pytest.fixture
 def rebooting():
     """A wave whose first VM waits for the platform."""
-    driver = WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"), never_return={"pickup-vm-1"})
+    driver = WaveDriver(
+        state_machine=StateMachineStandIn.prepare_example("pantry"), never_return={"pickup-vm-1"}
+    )
     wave = driver.start("pickup")
     while not wave.count(WaveVmStatus.REBOOTING):
         driver.run_round()
-    return driver.agreed.state
+    return driver.state_machine.state
 
 
 async def test_fault_of_a_reboot_is_logged_and_tried_again(rebooting):
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -11,13 +11,13 @@
 from hyssopway.fleet.wave_order import find_deadline_ms, forecast_end_ms, forecast_overrun_ms
 from hyssopway.fleet.waves import decide_waves
 from hyssopway.result import ResultCode
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 
 
 @pytest.fixture
 def driver():
-    return WaveDriver(agreed=AgreedStandIn.prepare_example("pantry"))
+    return WaveDriver(state_machine=StateMachineStandIn.prepare_example("pantry"))
 
 
 def control(driver, wave, action, operator="kim", request_id="c"):
@@ -28,7 +28,7 @@
         operator=operator,
         request_id=f"{request_id}-{wave.epoch}",
     )
-    return driver.agreed.apply(command).failure
+    return driver.state_machine.apply(command).failure
 
 
 def tell(wave):
@@ -38,15 +38,15 @@
 @pytest.mark.parametrize("deployment", ["pantry", "association"])
 def test_wave_reboots_each_vm_once_within_budgets(deployment):
     """Guards against a VM that is rebooted twice or left out, and against exceeded budgets."""
-    driver = WaveDriver(agreed=AgreedStandIn.prepare_example(deployment))
+    driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example(deployment))
     wave = driver.start()
     driver.run(wave)
-    document = driver.agreed.state.document()
+    document = driver.state_machine.state.document()
     assert (wave.status, wave.reason) == (WaveStatus.DONE, "every VM was visited")
-    assert driver.reboots == dict.fromkeys(driver.agreed.state.tables.vms, 1)
+    assert driver.reboots == dict.fromkeys(driver.state_machine.state.tables.vms, 1)
     assert all(driver.most_down[pool.name] <= pool.budget.max_down for pool in document.pools)
-    assert not driver.agreed.state.tables.permits
-    assert {vm.state for vm in driver.agreed.state.tables.vms.values()} == {VmState.READY}
+    assert not driver.state_machine.state.tables.permits
+    assert {vm.state for vm in driver.state_machine.state.tables.vms.values()} == {VmState.READY}
 
 
 def test_canary_goes_first_and_alone(driver):
@@ -65,8 +65,8 @@
             break
         driver.run_round()
         state = ControlState()
-        state.restore_snapshot(driver.agreed.state.encode_snapshot())
-        driver.agreed.state = state
+        state.restore_snapshot(driver.state_machine.state.encode_snapshot())
+        driver.state_machine.state = state
         wave = state.tables.waves[wave.wave_id]
     assert wave.status is WaveStatus.DONE
     assert set(driver.reboots.values()) == {1}
@@ -75,9 +75,9 @@
 def test_steps_of_two_leaders_are_applied_once(driver):
     """Guards against an older leader whose steps arrive after those of the new one."""
     driver.start()
-    steps = decide_waves(driver.agreed.state, now_ms=5000, returned=())
-    assert [driver.agreed.apply(step).failure for step in steps] == [None]
-    codes = [driver.agreed.apply(step).failure.code for step in steps]
+    steps = decide_waves(driver.state_machine.state, now_ms=5000, returned=())
+    assert [driver.state_machine.apply(step).failure for step in steps] == [None]
+    codes = [driver.state_machine.apply(step).failure.code for step in steps]
     assert codes == [ResultCode.WAVE_CONFLICT]
 
 
@@ -101,8 +101,8 @@
     for _ in range(10):
         driver.run_round()
     replaced = list(wave.select(WaveVmStatus.REPLACED))
-    pools = [vm.pool for vm in driver.agreed.state.tables.vms.values() if vm.state is VmState.READY]
-    assert all(pools.count(driver.agreed.vm(name).pool) == 8 for name in replaced)
+    pools = [vm.pool for vm in driver.state_machine.state.tables.vms.values() if vm.state is VmState.READY]
+    assert all(pools.count(driver.state_machine.vm(name).pool) == 8 for name in replaced)
     assert len(replaced) == sum(not name.startswith("back") for name in tell_lost(wave))
 
 
@@ -118,15 +118,15 @@
     assert control(driver, wave, WaveAction.PAUSE) is None
     for _ in range(40):
         driver.run_round()
-    assert not driver.agreed.state.tables.permits
+    assert not driver.state_machine.state.tables.permits
     done = wave.count(WaveVmStatus.DONE)
     assert control(driver, wave, WaveAction.RESUME) is None
     driver.run_round()
-    assert driver.agreed.state.tables.permits
+    assert driver.state_machine.state.tables.permits
     assert control(driver, wave, WaveAction.ABORT) is None
     for _ in range(40):
         driver.run_round()
-    assert not driver.agreed.state.tables.permits
+    assert not driver.state_machine.state.tables.permits
     assert set(tell(wave).values()) == {WaveVmStatus.DONE, WaveVmStatus.SKIPPED}
     assert wave.count(WaveVmStatus.DONE) == done
 
@@ -138,23 +138,23 @@
         wave=wave.wave_id, action=WaveAction.PAUSE, expected_epoch=1, operator="lee", request_id="x"
     )
     assert control(driver, wave, WaveAction.ABORT) is None
-    assert driver.agreed.apply(stale).failure.code is ResultCode.GENERATION_CONFLICT
+    assert driver.state_machine.apply(stale).failure.code is ResultCode.GENERATION_CONFLICT
     second = StartWave(request_id="second", operator="lee")
-    assert driver.agreed.apply(second).failure is None
+    assert driver.state_machine.apply(second).failure is None
 
 
 def test_withdrawal_during_a_wave_leaves_its_zone_for_later(driver):
     """Guards against a wave that uses up the budget that a withdrawal needs."""
     wave = driver.start()
     zone = SetZone(zone="Nashua", status=ZoneStatus.WITHDRAWN, request_id="z", operator="kim")
-    driver.agreed.apply(zone)
+    driver.state_machine.apply(zone)
     for _ in range(1500):
         driver.run_round()
-    waiting = [driver.agreed.vm(name).zone for name in wave.select(WaveVmStatus.WAITING)]
+    waiting = [driver.state_machine.vm(name).zone for name in wave.select(WaveVmStatus.WAITING)]
     assert set(waiting) == {"Nashua"}
     assert wave.count(WaveVmStatus.DONE) == 30
     zone = SetZone(zone="Nashua", status=ZoneStatus.OPEN, request_id="y", operator="kim")
-    driver.agreed.apply(zone)
+    driver.state_machine.apply(zone)
     driver.run(wave)
     assert wave.status is WaveStatus.DONE
 
@@ -164,11 +164,11 @@
     driver.never_return = {"back-office-vm-1"}
     wave = driver.start()
     driver.run(wave)
-    vm = driver.agreed.vm("back-office-vm-1")
+    vm = driver.state_machine.vm("back-office-vm-1")
     assert vm.state is VmState.DOWN
-    assert may_still_reboot(driver.agreed.state, vm=vm)
-    driver.agreed.register(vm.name, zone=vm.zone, rack=vm.rack, pool=vm.pool, boot_id="boot-new")
-    assert not may_still_reboot(driver.agreed.state, vm=vm)
+    assert may_still_reboot(driver.state_machine.state, vm=vm)
+    driver.state_machine.register(vm.name, zone=vm.zone, rack=vm.rack, pool=vm.pool, boot_id="boot-new")
+    assert not may_still_reboot(driver.state_machine.state, vm=vm)
 
 
 def test_forecast_follows_the_pace(driver):
@@ -177,9 +177,9 @@
     assert forecast_end_ms(wave, now_ms=0) is None
     while wave.count(WaveVmStatus.DONE) < 20:
         driver.run_round()
-    forecast = forecast_end_ms(wave, now_ms=driver.agreed.now_ms)
+    forecast = forecast_end_ms(wave, now_ms=driver.state_machine.now_ms)
     driver.run(wave)
-    assert abs(forecast - driver.agreed.now_ms) < 0.3 * driver.agreed.now_ms
+    assert abs(forecast - driver.state_machine.now_ms) < 0.3 * driver.state_machine.now_ms
 
 
 @pytest.mark.parametrize(("period_s", "late"), [(4000, False), (300, True)])
@@ -188,12 +188,12 @@
     wave = driver.start()
     for _ in range(20):
         driver.run_round()
-    assert forecast_overrun_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms) == 0
-    driver.agreed.change_document(driver.agreed.data | {"maintenance": {"period_s": period_s}})
-    known = forecast_overrun_ms(driver.agreed.state, wave=wave, now_ms=driver.agreed.now_ms)
+    assert forecast_overrun_ms(driver.state_machine.state, wave=wave, now_ms=driver.state_machine.now_ms) == 0
+    driver.state_machine.change_document(driver.state_machine.data | {"maintenance": {"period_s": period_s}})
+    known = forecast_overrun_ms(driver.state_machine.state, wave=wave, now_ms=driver.state_machine.now_ms)
     assert bool(known) == late
     driver.run(wave)
-    assert (driver.agreed.now_ms > find_deadline_ms(driver.agreed.state, wave=wave)) == late
+    assert (driver.state_machine.now_ms > find_deadline_ms(driver.state_machine.state, wave=wave)) == late
 
 
 def change_pools(data, case):
@@ -213,7 +213,7 @@
     wave = driver.start()
     for _ in range(20):
         driver.run_round()
-    driver.agreed.change_document(change_pools(driver.agreed.data, case))
+    driver.state_machine.change_document(change_pools(driver.state_machine.data, case))
     # The stops from before end first: a drain of 20 s and a reboot of 60 s are 16 rounds.
     for _ in range(20):
         driver.run_round()
@@ -224,8 +224,8 @@
         assert max(driver.most_down.values()) == 1
         assert driver.reboots == dict.fromkeys(wave.vms, 1)
     skipped = wave.select(WaveVmStatus.SKIPPED)
-    assert {driver.agreed.vm(name).pool for name in skipped} <= {"pickup"}
-    assert not driver.agreed.state.tables.permits
+    assert {driver.state_machine.vm(name).pool for name in skipped} <= {"pickup"}
+    assert not driver.state_machine.state.tables.permits
 
 
 def test_step_for_an_unknown_vm_or_wave_is_refused(driver):
@@ -236,4 +236,4 @@
         (wave.wave_id, "restock-vm-1", ResultCode.UNKNOWN_VM),
     ]:
         step = AdvanceWave(wave=name, vm=vm, status=WaveVmStatus.DRAINING, expected_epoch=1)
-        assert driver.agreed.apply(step).failure.code is code
+        assert driver.state_machine.apply(step).failure.code is code
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -11,31 +11,33 @@
 from hyssopway.fleet.zone_report import report_zone
 from hyssopway.fleet.zone_steps import decide_zones
 from hyssopway.result import ResultCode
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 from hyssopway_standins.wave_driver import WaveDriver
 
 
 @pytest.fixture(params=["pantry", "association"])
 def driver(request):
-    return WaveDriver(agreed=AgreedStandIn.prepare_example(request.param))
+    return WaveDriver(state_machine=StateMachineStandIn.prepare_example(request.param))
 
 
 def set_zone(driver, zone, status, epoch=None):
-    index = driver.agreed.state.applied_index
+    index = driver.state_machine.state.applied_index
     command = SetZone(zone=zone, status=status, expected_epoch=epoch, request_id=f"z{index}", operator="kim")
-    return driver.agreed.apply(command).failure
+    return driver.state_machine.apply(command).failure
 
 
 def run(driver, rounds=60, last_return_ms=None):
     """Runs zones and moves, and checks budgets and pools in each round."""
     last_return_ms = {} if last_return_ms is None else last_return_ms
-    document = driver.agreed.state.document()
+    document = driver.state_machine.state.document()
     returned = []
     for _ in range(rounds):
-        steps = decide_zones(driver.agreed.state, now_ms=driver.agreed.now_ms, last_return_ms=last_return_ms)
+        steps = decide_zones(
+            driver.state_machine.state, now_ms=driver.state_machine.now_ms, last_return_ms=last_return_ms
+        )
         returned.append(Counter(step.kind for step in steps)["return_permit"])
         for step in steps:
-            driver.agreed.apply(step)
+            driver.state_machine.apply(step)
         driver.run_round()
         for pool in document.pools:
             assert driver.most_down[pool.name] <= pool.budget.max_down
@@ -43,44 +45,46 @@
 
 
 def zones(driver):
-    return list(driver.agreed.state.tables.zones)
+    return list(driver.state_machine.state.tables.zones)
 
 
 def pools(driver):
-    return {name: vm.pool for name, vm in driver.agreed.state.tables.vms.items()}
+    return {name: vm.pool for name, vm in driver.state_machine.state.tables.vms.items()}
 
 
 def states_in(driver, zone):
-    vms = driver.agreed.state.tables.vms.values()
+    vms = driver.state_machine.state.tables.vms.values()
     return {vm.state for vm in vms if vm.zone == zone}
 
 
 def test_zone_is_emptied_within_budgets_and_everything_goes_back(driver):
     """Guards against a withdrawal that takes a pool below its budget or keeps borrowed VMs."""
     zone, before = zones(driver)[0], pools(driver)
-    dry = report_zone(driver.agreed.state, zone=zone)
+    dry = report_zone(driver.state_machine.state, zone=zone)
     assert pools(driver) == before
     assert set_zone(driver, zone, ZoneStatus.WITHDRAWN) is None
     run(driver)
-    permits = driver.agreed.state.tables.permits.values()
+    permits = driver.state_machine.state.tables.permits.values()
     emptied = Counter(
-        driver.agreed.vm(permit.vm).pool for permit in permits if permit.purpose is PermitPurpose.WITHDRAWAL
+        driver.state_machine.vm(permit.vm).pool
+        for permit in permits
+        if permit.purpose is PermitPurpose.WITHDRAWAL
     )
-    spare = next(pool.name for pool in driver.agreed.state.document().pools if pool.spare)
+    spare = next(pool.name for pool in driver.state_machine.state.document().pools if pool.spare)
     # Moves out of the spare pool use its budget too, so fewer of its VMs may be emptied.
     assert all(
         emptied[pool["pool"]] == pool["emptied_at_once"] for pool in dry["budgets"] if pool["pool"] != spare
     )
     moved = [name for name, pool in pools(driver).items() if pool != before[name]]
     assert moved
-    assert all(driver.agreed.vm(name).zone != zone for name in moved)
+    assert all(driver.state_machine.vm(name).zone != zone for name in moved)
     assert set_zone(driver, zone, ZoneStatus.RETURNING) is None
     returned = run(driver, rounds=200)
-    assert max(returned) <= len(driver.agreed.state.document().pools)
-    assert driver.agreed.state.tables.zones[zone].status is ZoneStatus.OPEN
+    assert max(returned) <= len(driver.state_machine.state.document().pools)
+    assert driver.state_machine.state.tables.zones[zone].status is ZoneStatus.OPEN
     assert states_in(driver, zone) == {VmState.READY}
     assert pools(driver) == before
-    assert not driver.agreed.state.tables.permits
+    assert not driver.state_machine.state.tables.permits
 
 
 @pytest.mark.parametrize("turns", [1, 2, 5])
@@ -106,35 +110,37 @@
     for zone in (first, second):
         set_zone(driver, zone, ZoneStatus.RETURNING)
     run(driver, rounds=300)
-    assert not driver.agreed.state.tables.permits
-    assert {zone.status for zone in driver.agreed.state.tables.zones.values()} == {ZoneStatus.OPEN}
+    assert not driver.state_machine.state.tables.permits
+    assert {zone.status for zone in driver.state_machine.state.tables.zones.values()} == {ZoneStatus.OPEN}
 
 
 def add_vms(driver, zone, pool, count):
     for number in range(count):
-        driver.agreed.register(f"more-{pool}-{number}", zone=zone, rack=f"{zone}-more-{number}", pool=pool)
+        driver.state_machine.register(
+            f"more-{pool}-{number}", zone=zone, rack=f"{zone}-more-{number}", pool=pool
+        )
 
 
 @pytest.mark.parametrize(("more", "spare_down", "left"), [(1, 4, 0), (2, 4, 0), (3, 4, 1), (1, 2, 1)])
 def test_drained_vms_are_swapped_for_spare_vms(driver, more, spare_down, left):
     """Guards against a zone that keeps VMs at work though spare VMs could stand in for them."""
-    zone, data = zones(driver)[0], driver.agreed.data
+    zone, data = zones(driver)[0], driver.state_machine.data
     pool = data["pools"][0]["name"]
     spare = next(item for item in data["pools"] if item.get("spare"))
     spare["budget"]["max_down"] = spare_down
-    driver.agreed.change_document(data)
+    driver.state_machine.change_document(data)
     add_vms(driver, zone, pool, more)
     before = pools(driver)
     set_zone(driver, zone, ZoneStatus.WITHDRAWN)
     run(driver, rounds=200)
-    vms = [vm for vm in driver.agreed.state.tables.vms.values() if vm.zone == zone]
+    vms = [vm for vm in driver.state_machine.state.tables.vms.values() if vm.zone == zone]
     assert sum(vm.state is VmState.READY for vm in vms) == left
-    outside = Counter(name for vm, name in pools(driver).items() if driver.agreed.vm(vm).zone != zone)
+    outside = Counter(name for vm, name in pools(driver).items() if driver.state_machine.vm(vm).zone != zone)
     assert outside[pool] > Counter(before.values())[pool] - 2 - more
     set_zone(driver, zone, ZoneStatus.RETURNING)
     run(driver, rounds=300)
     assert (pools(driver), states_in(driver, zone)) == (before, {VmState.READY})
-    assert not driver.agreed.state.tables.permits
+    assert not driver.state_machine.state.tables.permits
 
 
 def test_withdrawal_during_a_wave(driver):
@@ -165,10 +171,10 @@
 def test_failures_beyond_a_budget_stop_the_emptying(driver):
     """Guards against planned stops on top of failures that already exceed a budget."""
     zone = zones(driver)[0]
-    pool = driver.agreed.state.document().pools[0]
+    pool = driver.state_machine.state.document().pools[0]
     names = [name for name, in_pool in pools(driver).items() if in_pool == pool.name]
     for name in names[: pool.budget.max_down + 1]:
         driver.change(name, VmState.DOWN)
     set_zone(driver, zone, ZoneStatus.WITHDRAWN)
-    assert not decide_zones(driver.agreed.state, now_ms=0, last_return_ms={})
-    assert report_zone(driver.agreed.state, zone=zone)["stopped_by_failures"]
+    assert not decide_zones(driver.state_machine.state, now_ms=0, last_return_ms={})
+    assert report_zone(driver.state_machine.state, zone=zone)["stopped_by_failures"]
