--- a/src/hyssopway_standins/demo.py
+++ b/src/hyssopway_standins/demo.py
@@ -17,7 +17,7 @@
 
 from .command_line import CommandLine
 from .fleet import EXAMPLES, load_example_document
-from .outside import Outside
+from .fleet_stand_in import FleetStandIn
 from .processes import Deployment
 from .summary import Summary
 
@@ -40,15 +40,17 @@
 
     Attributes:
         deployment: The daemons.
-        outside: Endpoints and workers.
+        fleet_stand_in: Endpoints and workers.
         session: HTTP client of the callers.
         cli: The command line.
         summary: Expected against found.
     """
 
-    def __init__(self, *, deployment: Deployment, outside: Outside, session: aiohttp.ClientSession) -> None:
+    def __init__(
+        self, *, deployment: Deployment, fleet_stand_in: FleetStandIn, session: aiohttp.ClientSession
+    ) -> None:
         self.deployment = deployment
-        self.outside = outside
+        self.fleet_stand_in = fleet_stand_in
         self.session = session
         self.cli = CommandLine(deployment=deployment)
         self.summary = Summary()
@@ -61,7 +63,7 @@
         """Runs all steps in order."""
         for title, step in (
             ("Document", self.put_in_force),
-            ("Endpoints and workers start", self.outside.start),
+            ("Endpoints and workers start", self.fleet_stand_in.start),
             ("Key", self.grant_key),
             ("Requests", self.call_services),
             ("Jobs", self.run_jobs),
@@ -102,7 +104,9 @@
                 found=answers.count(200),
             )
             if not service.idempotent:
-                runs = sum(endpoint.seen[f"resent-{kind}"] for endpoint in self.outside.endpoints.values())
+                runs = sum(
+                    endpoint.seen[f"resent-{kind}"] for endpoint in self.fleet_stand_in.endpoints.values()
+                )
                 self.summary.compare(
                     f"runs of one {service.name} request sent 6 times", expected=1, found=runs
                 )
@@ -263,7 +267,9 @@
         return daemons
 
     def _starts_in(self, zone: str) -> int:
-        return sum(len(worker.starts) for worker in self.outside.workers.values() if worker.zone == zone)
+        return sum(
+            len(worker.starts) for worker in self.fleet_stand_in.workers.values() if worker.zone == zone
+        )
 
     def _url(self, position: int) -> str:
         return list(self.deployment.daemons.values())[position].url
@@ -280,20 +286,22 @@
     started = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name=name, folder=Path(folder))
-        outside = Outside.prepare(deployment)
+        fleet_stand_in = FleetStandIn.prepare(deployment)
         timeout = aiohttp.ClientTimeout(total=10)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            demo = Demo(deployment=deployment, outside=outside, session=session)
+            demo = Demo(deployment=deployment, fleet_stand_in=fleet_stand_in, session=session)
             deployment.start()
             try:
                 await deployment.wait_ready()
-                print(f"{len(deployment.daemons)} daemons, {len(outside.workers)} workers", end=" and ")
-                print(f"{len(outside.endpoints)} endpoints of the {name} deployment")
+                print(
+                    f"{len(deployment.daemons)} daemons, {len(fleet_stand_in.workers)} workers", end=" and "
+                )
+                print(f"{len(fleet_stand_in.endpoints)} endpoints of the {name} deployment")
                 await demo.run()
             except Exception as error:
                 demo.summary.compare("error", expected=None, found=repr(error))
             finally:
-                await outside.stop()
+                await fleet_stand_in.stop()
                 statuses = await asyncio.to_thread(deployment.stop)
     demo.summary.compare("exit statuses of the daemons", expected={0}, found=set(statuses.values()))
     print(f"\n{demo.summary.render()}\n\n{time.monotonic() - started:.1f} s")
--- a/src/hyssopway_standins/outside.py
+++ b/src/hyssopway_standins/fleet_stand_in.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Outside:
+class FleetStandIn:
     """Endpoints and workers in one event loop.
 
     Attributes:
@@ -26,14 +26,14 @@
     workers: dict[str, WorkerStandIn] = field(default_factory=dict)
 
     @staticmethod
-    def prepare(deployment: Deployment, *, time_scale: float = 0.01) -> Outside:
+    def prepare(deployment: Deployment, *, time_scale: float = 0.01) -> FleetStandIn:
         """Creates one worker for each VM and one endpoint for each instance of a service."""
-        outside = Outside()
+        fleet_stand_in = FleetStandIn()
         document = load_example_document(deployment.name)
         sizes = load_sizes(deployment.name)
         for place in place_vms(document=document, sizes=sizes):
             entries = deployment.entries(place.zone)
-            outside.workers[place.name] = WorkerStandIn(
+            fleet_stand_in.workers[place.name] = WorkerStandIn(
                 vm=place.name,
                 zone=place.zone,
                 rack=place.rack,
@@ -46,7 +46,7 @@
             for service in document.services:
                 if service.pool == place.pool:
                     name = f"{service.name}@{place.name}"
-                    outside.endpoints[name] = EndpointStandIn(
+                    fleet_stand_in.endpoints[name] = EndpointStandIn(
                         name=name,
                         service=service.name,
                         entries=entries,
@@ -55,8 +55,8 @@
                         slots=service.slots,
                         connections=service.connections,
                     )
-                    outside.workers[place.name].endpoints.append(outside.endpoints[name])
-        return outside
+                    fleet_stand_in.workers[place.name].endpoints.append(fleet_stand_in.endpoints[name])
+        return fleet_stand_in
 
     async def start(self) -> None:
         """Starts all of them."""
@@ -73,4 +73,4 @@
             await endpoint.stop(leave=False)
 
 
-__all__ = ["Outside"]
+__all__ = ["FleetStandIn"]
--- a/src/hyssopway_standins/measure/jobs.py
+++ b/src/hyssopway_standins/measure/jobs.py
@@ -24,8 +24,8 @@
 from hyssopway.document import Resources
 from hyssopway.job.shares import fair_shares
 from hyssopway_standins.fleet import EXAMPLES
+from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.operator_client import OperatorClient
-from hyssopway_standins.outside import Outside
 from hyssopway_standins.processes import Deployment
 
 from .first_fit import FirstFit
@@ -203,14 +203,14 @@
         deployment.start()
         try:
             await deployment.wait_ready()
-            outside = Outside.prepare(deployment)
-            await outside.start()
+            fleet_stand_in = FleetStandIn.prepare(deployment)
+            await fleet_stand_in.start()
             try:
-                await _measure_starts(measurement, deployment, outside, count=100 * count)
-                waits = await _time_urgent(deployment, outside, count=count)
-                await _measure_burst(measurement, deployment, outside, count=125 * count)
+                await _measure_starts(measurement, deployment, fleet_stand_in, count=100 * count)
+                waits = await _time_urgent(deployment, fleet_stand_in, count=count)
+                await _measure_burst(measurement, deployment, fleet_stand_in, count=125 * count)
             finally:
-                await outside.stop()
+                await fleet_stand_in.stop()
         finally:
             deployment.stop()
     measurement.figures["urgent_start_on_full_pool_median_s"] = sorted(waits)[len(waits) // 2]
@@ -218,11 +218,11 @@
 
 
 async def _measure_starts(
-    measurement: Measurement, deployment: Deployment, outside: Outside, *, count: int
+    measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
     """Times jobs on a fleet with room from their acceptance to their start."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    workers = [worker for worker in outside.workers.values() if worker.pool == "pickup"]
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "pickup"]
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
         await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
@@ -244,11 +244,11 @@
 
 
 async def _measure_burst(
-    measurement: Measurement, deployment: Deployment, outside: Outside, *, count: int
+    measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
     """Submits from 64 callers at once over all entry VMs, then cancels everything in one request."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    workers = [worker for worker in outside.workers.values() if worker.pool == "matching"]
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "matching"]
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
         key = await operator.grant_key("monadnock-freezers")
@@ -273,12 +273,12 @@
         measurement.figures["cancelled_jobs_started_later_jobs"] = len(late)
 
 
-async def _time_urgent(deployment: Deployment, outside: Outside, *, count: int) -> list[float]:
+async def _time_urgent(deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int) -> list[float]:
     url = deployment.daemons["nashua-1"].url
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
         teams = TeamJobs(session=session, url=url, key=await operator.grant_key("granite-hearth"))
-        workers = [worker for worker in outside.workers.values() if worker.pool == "restock"]
+        workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "restock"]
         # Tasks of 60,000 s are cut to 600 s by the time scale; they outlast the measurement.
         for _ in workers:
             await teams.submit(cores=64, urgent=False)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,8 +9,8 @@
 import pytest
 
 from hyssopway_standins.fleet import EXAMPLES
+from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.operator_client import OperatorClient
-from hyssopway_standins.outside import Outside
 from hyssopway_standins.processes import Deployment
 
 if TYPE_CHECKING:
@@ -72,9 +72,9 @@
 
 
 @pytest.fixture
-async def outside(deployment: Deployment, operator: OperatorClient) -> AsyncIterator[Outside]:
+async def fleet_stand_in(deployment: Deployment, operator: OperatorClient) -> AsyncIterator[FleetStandIn]:
     """All endpoints and workers of the pantry deployment."""
-    prepared = Outside.prepare(deployment)
+    prepared = FleetStandIn.prepare(deployment)
     await prepared.start()
     try:
         yield prepared
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -100,7 +100,7 @@
 )
 
 
-async def test_fleet_session(deployment, outside, operator, rewrite):
+async def test_fleet_session(deployment, fleet_stand_in, operator, rewrite):
     """Guards against an unnoticed change of what operators see while they maintain the fleet.
 
     No platform is set, so the wave stays before its canary.
@@ -113,7 +113,7 @@
         vms = {item["vm"]["name"]: item["vm"] for item in (await operator.get("/v1/vms"))["vms"]}
         match wanted:
             case "registered":
-                return len(vms) == len(outside.workers)
+                return len(vms) == len(fleet_stand_in.workers)
             case "moved":
                 vm = vms["back-office-vm-1"]
                 return (vm["pool"], vm["state"]) == ("matching", "ready")
@@ -131,7 +131,7 @@
     session.compare("fleet", rewrite=rewrite)
 
 
-async def test_caller_session(deployment, outside, operator, session, rewrite):
+async def test_caller_session(deployment, fleet_stand_in, operator, session, rewrite):
     """Guards against an unnoticed change of the answers that callers and submitters get."""
     key = await operator.grant_key("casco-bay")
     recorded = Session()
--- a/tests/operator_api/test_resends.py
+++ b/tests/operator_api/test_resends.py
@@ -29,7 +29,7 @@
 ]
 
 
-async def test_a_resend_of_each_change_gets_the_first_outcome(deployment, outside, operator, session):
+async def test_a_resend_of_each_change_gets_the_first_outcome(deployment, fleet_stand_in, operator, session):
     """Guards against a change that takes effect twice, or that a resend reports as refused."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
     headers = {"Authorization": f"Bearer {deployment.operator_token}"}
--- a/tests/whole/test_cuts.py
+++ b/tests/whole/test_cuts.py
@@ -22,8 +22,8 @@
     from collections.abc import AsyncIterator
     from pathlib import Path
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
     Directions = set[tuple[str, str]]
 
@@ -138,7 +138,7 @@
     deployment: Deployment,
     network: Network,
     operator: OperatorClient,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     session: aiohttp.ClientSession,
     *,
     case: Case,
@@ -169,7 +169,7 @@
             for_s=60,
         )
         load.append(group.create_task(jobs))
-        await wait_until(lambda: started_in(outside, zone))
+        await wait_until(lambda: started_in(fleet_stand_in, zone))
         network.cut(case.cut(leader))
         cut_at = time.monotonic()
         await wait_until(lambda: try_withdraw(operator, key), timeout_s=LIMIT_S)
@@ -196,7 +196,10 @@
             served = probe.between(cut_at + LIMIT_S, healed_at)
             assert served[200] >= sum(served.values()) - 1 > 0, (probe.daemon, probe.results[-5:])
     starts = [
-        start[0] for worker in outside.workers.values() if worker.zone == zone for start in worker.starts
+        start[0]
+        for worker in fleet_stand_in.workers.values()
+        if worker.zone == zone
+        for start in worker.starts
     ]
     assert not [at - zone_at for at in starts if at > zone_at + LIMIT_S]
     await wait_until(lambda: replicas_converged(deployment, operator), timeout_s=20)
@@ -228,5 +231,5 @@
     return True
 
 
-async def started_in(outside: Outside, zone: str) -> bool:
-    return any(worker.starts for worker in outside.workers.values() if worker.zone == zone)
+async def started_in(fleet_stand_in: FleetStandIn, zone: str) -> bool:
+    return any(worker.starts for worker in fleet_stand_in.workers.values() if worker.zone == zone)
--- a/tests/whole/test_drains.py
+++ b/tests/whole/test_drains.py
@@ -12,14 +12,17 @@
 if TYPE_CHECKING:
     import aiohttp
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 
 @pytest.fixture
 async def start_job(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Starts a job of 30 s and returns its id and VM."""
     key = await operator.grant_key("granite-hearth")
@@ -38,7 +41,7 @@
         job_id = (await wait_until(accept))["job_id"]
 
         async def find() -> Any:
-            return next((vm for vm, worker in outside.workers.items() if job_id in worker.tasks), None)
+            return next((vm for vm, worker in fleet_stand_in.workers.items() if job_id in worker.tasks), None)
 
         return job_id, await wait_until(find)
 
@@ -46,7 +49,7 @@
 
 
 async def test_drain_checkpoints_or_waits_and_operator_decides(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, start_job: Any
+    deployment: Deployment, fleet_stand_in: FleetStandIn, operator: OperatorClient, start_job: Any
 ):
     """Guards against a drain that cuts work off, and against one that ends without an answer."""
     text = (EXAMPLES / "pantry" / "document.yaml").read_text().replace("drain_s: 600", "drain_s: 1")
@@ -56,7 +59,7 @@
     await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await epoch(operator, vm)})
     await wait_until(lambda: in_state(operator, vm, "drained"))
     assert (await operator.get(f"/v1/explain/job/{saved}"))["checkpoint"] == "checkpoint"
-    moved = next(name for name, worker in outside.workers.items() if saved in worker.tasks)
+    moved = next(name for name, worker in fleet_stand_in.workers.items() if saved in worker.tasks)
     assert moved != vm
     await operator.post(f"/v1/vms/{vm}/return", {"expected_epoch": await epoch(operator, vm)})
 
@@ -64,7 +67,7 @@
     await operator.post(f"/v1/vms/{vm}/drain", {"expected_epoch": await epoch(operator, vm)})
     await wait_until(lambda: overdue(operator, vm))
     await wait_until(lambda: asked(deployment, vm))
-    assert job in outside.workers[vm].tasks
+    assert job in fleet_stand_in.workers[vm].tasks
     stop = {"expected_epoch": await epoch(operator, vm), "decision": "stop"}
     await operator.post(f"/v1/vms/{vm}/decision", stop)
     await wait_until(lambda: in_state(operator, vm, "drained"))
@@ -72,7 +75,10 @@
 
 
 async def test_move_and_failure_of_a_vm(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against a move that leaves the VM stopped, and a lost VM that stays in use."""
     vm = "back-office-vm-1"
@@ -82,9 +88,9 @@
     moved = await wait_until(lambda: in_pool(operator, vm, "restock"))
     assert moved["state"] == "ready"
     assert await operator.post(f"/v1/vms/{vm}/move", body, request_id="move-1") == first
-    outside.workers[vm].stop()
+    fleet_stand_in.workers[vm].stop()
     await wait_until(lambda: in_state(operator, vm, "down"))
-    outside.workers[vm].start()
+    fleet_stand_in.workers[vm].start()
     await wait_until(lambda: in_state(operator, vm, "ready"))
 
 
--- a/tests/whole/test_job_faults.py
+++ b/tests/whole/test_job_faults.py
@@ -13,8 +13,8 @@
 import pytest
 
 from hyssopway_standins.fleet import EXAMPLES
+from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.operator_client import OperatorClient
-from hyssopway_standins.outside import Outside
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -31,18 +31,21 @@
 
 @pytest.mark.faults
 async def test_burst_of_jobs_survives_kills_freezes_and_restarts(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against lost jobs, two live runs of one job and a team above its upper limit."""
     keys = {team: await operator.grant_key(team) for team in TEAMS}
     limits = await _read_limits(operator)
     burst = asyncio.create_task(_submit_all(deployment, session, keys=keys))
-    await _break_things(deployment, outside)
+    await _break_things(deployment, fleet_stand_in)
     teams = await burst
     jobs = await _wait_for_ends(deployment, session, keys=keys)
     assert set(jobs) == set(teams)
     assert Counter(job["status"] for job in jobs.values()) == {"done": JOBS}
-    spans = _spans(list(outside.workers.values()))
+    spans = _spans(list(fleet_stand_in.workers.values()))
     for job_id, team in teams.items():
         assert _most_at_once([span for name, span in spans if name == job_id]) == 1, (job_id, team)
     for team, limit in limits.items():
@@ -60,32 +63,35 @@
     text = (EXAMPLES / "pantry" / "document.yaml").read_text()
     await operator.put_in_force(text.replace("cut_off_run_s: 120", "cut_off_run_s: 5"))
     key = await operator.grant_key(TEAMS[0])
-    outside = Outside.prepare(deployment)
-    await outside.start()
+    fleet_stand_in = FleetStandIn.prepare(deployment)
+    await fleet_stand_in.start()
     try:
         submit = (_submit(deployment, session, number=number, key=key, run_s=800) for number in range(32))
         ids = await asyncio.gather(*submit)
-        await _wait_until(lambda: sum(len(w.tasks) for w in outside.workers.values()) == len(ids))
+        await _wait_until(lambda: sum(len(w.tasks) for w in fleet_stand_in.workers.values()) == len(ids))
         home.send(signal.SIGSTOP)
         jobs = await _wait_for_ends(deployment, session, keys={TEAMS[0]: key}, count=len(ids))
         home.send(signal.SIGCONT)
         await asyncio.sleep(5)
     finally:
-        await outside.stop()
+        await fleet_stand_in.stop()
     assert Counter(job["status"] for job in jobs.values()) == {"done": len(ids)}
     assert any("portland-1 out of contact" in line for job in jobs.values() for line in job["history"])
-    spans = _spans(list(outside.workers.values()))
+    spans = _spans(list(fleet_stand_in.workers.values()))
     for job_id in ids:
         assert _most_at_once([span for name, span in spans if name == job_id]) == 1
 
 
 @pytest.mark.faults
 async def test_jobs_go_elsewhere_when_the_only_entry_of_a_zone_is_killed(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against jobs that wait on workers whose only entry is gone."""
     key = await operator.grant_key(TEAMS[0])
-    workers = list(outside.workers.values())
+    workers = list(fleet_stand_in.workers.values())
     lost = [worker for worker in workers if worker.zone == "Portland"]
     await _wait_until(lambda: all(worker.lease_until for worker in workers))
     before = await _submit_many(deployment, session, key=key, numbers=range(20))
@@ -111,10 +117,11 @@
             await asyncio.sleep(0.05)
 
 
-async def _break_things(deployment: Deployment, outside: Outside) -> None:
+async def _break_things(deployment: Deployment, fleet_stand_in: FleetStandIn) -> None:
     daemons = deployment.daemons
     workers = {
-        zone: [w for w in outside.workers.values() if w.zone == zone] for zone in ("Nashua", "Portland")
+        zone: [w for w in fleet_stand_in.workers.values() if w.zone == zone]
+        for zone in ("Nashua", "Portland")
     }
     await asyncio.sleep(2)
     workers["Nashua"][0].stop()
--- a/tests/whole/test_planned_stops.py
+++ b/tests/whole/test_planned_stops.py
@@ -21,8 +21,8 @@
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
 WAVE_VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
 DRAINED = ["restock-vm-1", "matching-vm-2", "dispatch-vm-3", "back-office-vm-4"]
@@ -67,18 +67,18 @@
 
 @pytest.mark.faults
 async def test_planned_stops_cut_no_request_off(
-    deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
+    deployment: Deployment, platform: PlatformStandIn, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against planned stops that break requests, and new work on an endpoint that left."""
     truth = Truth()
 
     def check_vm(vm: str) -> None:
-        busy = [item.name for item in outside.endpoints.values() if item.vm == vm and item.in_progress]
+        busy = [item.name for item in fleet_stand_in.endpoints.values() if item.vm == vm and item.in_progress]
         truth.cut += [f"{name} busy when {vm} was empty" for name in busy]
 
     def reboot(vm: str) -> None:
         check_vm(vm)
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         worker.stop()
         worker.boot_id = secrets.token_hex(4)
         worker.start()
@@ -93,7 +93,7 @@
             group.create_task(call(deployment, session, truth, stop, key=key, number=number))
         try:
             await asyncio.sleep(SLOW_S)
-            left = outside.endpoints["reports@back-office-vm-5"]
+            left = fleet_stand_in.endpoints["reports@back-office-vm-5"]
             await left.leave()
             left_at = time.monotonic()
             wave = (await operator.post("/v1/waves", {"pools": ["pickup"]}))["reference"]
@@ -109,7 +109,7 @@
             shown = await operator.get(f"/v1/waves/{wave}")
             sys.stdout.write(f"wave: {shown}\noutcomes: {dict(truth.outcomes)}\n")
     assert truth.cut == []
-    assert {item.name: item.cut for item in outside.endpoints.values() if item.cut} == {}
+    assert {item.name: item.cut for item in fleet_stand_in.endpoints.values() if item.cut} == {}
     assert left.received_at - left_at < LAST_NEW_WORK_S
     assert truth.outcomes["long ok"] > CALLERS / 10
 
--- a/tests/whole/test_races.py
+++ b/tests/whole/test_races.py
@@ -16,8 +16,8 @@
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 RACE_S = 10.0
@@ -135,7 +135,10 @@
 
 @pytest.mark.faults
 async def test_leader_that_wakes_up_acts_on_nothing_old(
-    deployment: Deployment, operator: OperatorClient, outside: Outside, session: aiohttp.ClientSession
+    deployment: Deployment,
+    operator: OperatorClient,
+    fleet_stand_in: FleetStandIn,
+    session: aiohttp.ClientSession,
 ):
     """Guards against a leader that was frozen beyond every lease and still trusts its state."""
     key = await operator.grant_key("casco-bay")
@@ -165,7 +168,7 @@
     woken = [*(await asyncio.gather(*waiting)), *[await call(number) for number in range(9, 30)]]
     assert changed_s < 5.0
     assert set(woken) <= {403, 503}
-    seen = {name for endpoint in outside.endpoints.values() for name in endpoint.seen}
+    seen = {name for endpoint in fleet_stand_in.endpoints.values() for name in endpoint.seen}
     assert not [name for name in seen if name.startswith("woken-") and name != "woken-0"]
     await wait_until(lambda: replicas_converged(deployment, operator))
 
--- a/tests/whole/test_requests_under_faults.py
+++ b/tests/whole/test_requests_under_faults.py
@@ -14,8 +14,8 @@
 import pytest
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 SEED = 20
@@ -37,13 +37,13 @@
 
 @pytest.mark.faults
 async def test_promises_hold_in_a_burst_with_faults(
-    deployment: Deployment, outside: Outside, operator: OperatorClient
+    deployment: Deployment, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against exceeded slots, second runs, false "not run" and damaged answers."""
     rng = random.Random(SEED)
     key = await operator.grant_key("casco-bay")
     await asyncio.sleep(2.5)  # slow start of the endpoints
-    for endpoint in outside.endpoints.values():
+    for endpoint in fleet_stand_in.endpoints.values():
         endpoint.service_s = 0.1  # so that the slots are all in use
     urls = [daemon.url for daemon in deployment.daemons.values()]
     truth = Truth()
@@ -69,10 +69,10 @@
         ]
         rng.shuffle(calls)
         async with asyncio.TaskGroup() as group:
-            group.create_task(_make_faults(deployment, outside))
+            group.create_task(_make_faults(deployment, fleet_stand_in))
             for call in calls:
                 group.create_task(call)
-    _check(truth, outside=outside)
+    _check(truth, fleet_stand_in=fleet_stand_in)
 
 
 async def _send(session, gate, truth, *, url, name, headers=None) -> None:
@@ -99,8 +99,8 @@
         truth.not_run.add(name)
 
 
-async def _make_faults(deployment: Deployment, outside: Outside) -> None:
-    endpoints = [item for item in outside.endpoints.values() if item.service == "pickup-schedule"]
+async def _make_faults(deployment: Deployment, fleet_stand_in: FleetStandIn) -> None:
+    endpoints = [item for item in fleet_stand_in.endpoints.values() if item.service == "pickup-schedule"]
     await asyncio.sleep(0.7)
     deployment.daemons["nashua-1"].kill()  # home of all endpoints of its zone
     await asyncio.sleep(0.7)
@@ -112,10 +112,10 @@
     deployment.daemons["worcester-1"].send(signal.SIGCONT)
 
 
-def _check(truth: Truth, *, outside: Outside) -> None:
+def _check(truth: Truth, *, fleet_stand_in: FleetStandIn) -> None:
     sys.stdout.write(f"outcomes: {dict(truth.outcomes)}\n")
     seen: Counter[str] = Counter()
-    for endpoint in outside.endpoints.values():
+    for endpoint in fleet_stand_in.endpoints.values():
         assert endpoint.most_in_progress <= endpoint.slots, endpoint.name
         seen += endpoint.seen
     assert not truth.wrong
--- a/tests/whole/test_stopped_process.py
+++ b/tests/whole/test_stopped_process.py
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     import aiohttp
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 
 @pytest.mark.parametrize("name", ["worcester-2", "portland-1"])
 async def test_withdrawn_key_is_refused_by_a_process_that_was_stopped(
     deployment: Deployment,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     operator: OperatorClient,
     session: aiohttp.ClientSession,
     name: str,
@@ -43,4 +43,4 @@
     await asyncio.sleep(0.1)
     daemon.send(signal.SIGCONT)
     assert set(await asyncio.gather(*calls)) <= {403, 503}
-    assert sum(endpoint.seen[f"van-{name}"] for endpoint in outside.endpoints.values()) == 0
+    assert sum(endpoint.seen[f"van-{name}"] for endpoint in fleet_stand_in.endpoints.values()) == 0
--- a/tests/whole/test_wave.py
+++ b/tests/whole/test_wave.py
@@ -18,8 +18,8 @@
 if TYPE_CHECKING:
     import aiohttp
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
 VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
 RUN_S = 90.0
@@ -48,7 +48,7 @@
 async def test_wave_with_failing_platform_and_lost_leader(
     deployment: Deployment,
     platform: PlatformStandIn,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     operator: OperatorClient,
     session: aiohttp.ClientSession,
 ):
@@ -57,7 +57,7 @@
     down: list[Counter[str]] = []
 
     def reboot(vm: str) -> None:
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         cut.extend(worker.tasks)
         worker.stop()
         worker.boot_id = secrets.token_hex(4)
@@ -110,13 +110,13 @@
 
 @pytest.mark.faults
 async def test_canary_that_fails_everything_after_its_reboot_pauses_the_wave(
-    deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
+    deployment: Deployment, platform: PlatformStandIn, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against a wave that goes on because the platform calls a VM healthy that fails its work."""
     rebooted: list[str] = []
 
     def reboot(vm: str) -> None:
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         worker.stop()
         if not rebooted:
             worker.choose_outcome = lambda _: RunOutcome.FAILED
@@ -145,7 +145,7 @@
             f"canary {rebooted[0]} fails after its reboot",
         )
         assert await state_of(operator, rebooted[0]) == "quarantined"
-        outside.workers[rebooted[0]].choose_outcome = lambda _: RunOutcome.DONE
+        fleet_stand_in.workers[rebooted[0]].choose_outcome = lambda _: RunOutcome.DONE
         await operator.post(f"/v1/waves/{wave}/resume", {"expected_epoch": shown["epoch"]})
         shown = await wait_until(lambda: ended(operator, wave), timeout_s=RUN_S)
         await wait_until(lambda: is_ready(operator, rebooted[0]), timeout_s=RUN_S)
--- a/tests/whole/test_whole_path.py
+++ b/tests/whole/test_whole_path.py
@@ -10,13 +10,13 @@
 if TYPE_CHECKING:
     import aiohttp
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 
 async def test_request_through_each_entry_returns_whole_answer(
-    deployment: Deployment, outside: Outside, session: aiohttp.ClientSession
+    deployment: Deployment, fleet_stand_in: FleetStandIn, session: aiohttp.ClientSession
 ):
     """Guards against an entry VM that cannot reach endpoints of other zones."""
     for daemon in deployment.daemons.values():
@@ -25,7 +25,10 @@
 
 
 async def test_non_idempotent_request_runs_once_over_resends(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against a second van when the balancer sends a request again to other entry VMs."""
     key = await operator.grant_key("casco-bay")
@@ -33,11 +36,14 @@
     for daemon in deployment.daemons.values():
         url = f"{daemon.url}/call/van-dispatch/send"
         assert await _call_until_served(session, url, data=b"van", headers=headers) == b"van"
-    assert sum(endpoint.seen["van-1"] for endpoint in outside.endpoints.values()) == 1
+    assert sum(endpoint.seen["van-1"] for endpoint in fleet_stand_in.endpoints.values()) == 1
 
 
 async def test_job_is_accepted_placed_run_and_explained(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against a job that is accepted and then lost."""
     key = await operator.grant_key("granite-hearth")
@@ -48,7 +54,9 @@
     job_id = json.loads(accepted)["job_id"]
     job = await _wait_for_end(session, f"{reading}/v1/jobs/{job_id}", headers=headers)
     assert job["status"] == "done"
-    assert sum(start[1] == job_id for worker in outside.workers.values() for start in worker.starts) == 1
+    assert (
+        sum(start[1] == job_id for worker in fleet_stand_in.workers.values() for start in worker.starts) == 1
+    )
     explained = await operator.get(f"/v1/explain/job/{job_id}")
     assert any("run 1 on" in line for line in explained["history"])
 
--- a/tests/whole/test_withdrawal.py
+++ b/tests/whole/test_withdrawal.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     import aiohttp
 
-    from hyssopway_standins.outside import Outside
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.processes import Deployment
 
 RUN_S = 60.0
@@ -30,7 +30,10 @@
 
 @pytest.mark.faults
 async def test_zone_leaves_and_returns_under_load(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against starts after a withdrawal, exceeded budgets, lost jobs and VMs in no pool."""
     key = await operator.grant_key("granite-hearth")
@@ -54,13 +57,19 @@
     finally:
         load.cancel()
     starts = [
-        start[0] for worker in outside.workers.values() if worker.zone == ZONE for start in worker.starts
+        start[0]
+        for worker in fleet_stand_in.workers.values()
+        if worker.zone == ZONE
+        for start in worker.starts
     ]
     assert not [at for at in starts if withdrawn_at + LAST_START_S < at < returned_at]
     assert set(await pools(operator)) == set(before)
     await wait_until(lambda: all_done(operator, accepted), timeout_s=RUN_S)
     runs = Counter(
-        start[1] for worker in outside.workers.values() for start in worker.starts if start[1] in accepted
+        start[1]
+        for worker in fleet_stand_in.workers.values()
+        for start in worker.starts
+        if start[1] in accepted
     )
     assert set(runs) == set(accepted)
     again = [job_id for job_id, count in runs.items() if count > 1]
@@ -72,7 +81,7 @@
 @pytest.mark.parametrize(("names", "frozen"), [((ZONE, "Providence"), ()), ((ZONE,), ("portland-1",))])
 async def test_withdrawal_of_two_zones_or_of_a_frozen_one(
     deployment: Deployment,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     operator: OperatorClient,
     names: tuple[str, ...],
     frozen: tuple[str, ...],
@@ -93,7 +102,7 @@
     try:
         await wait_until(lambda: all_registered(operator), timeout_s=RUN_S)
         before = set(await pools(operator))
-        await wait_until(lambda: started_in(outside, names), timeout_s=RUN_S)
+        await wait_until(lambda: started_in(fleet_stand_in, names), timeout_s=RUN_S)
         for daemon in frozen:
             deployment.daemons[daemon].send(signal.SIGSTOP)
         for zone in names:
@@ -113,14 +122,17 @@
             )
     finally:
         load.cancel()
-    assert not late_starts(outside, names, between=(withdrawn_at + LAST_START_S, returned_at))
+    assert not late_starts(fleet_stand_in, names, between=(withdrawn_at + LAST_START_S, returned_at))
     assert set(await pools(operator)) == before
     await wait_until(lambda: all_done(operator, accepted), timeout_s=RUN_S)
 
 
 @pytest.mark.faults
 async def test_racing_operators_withdraw_and_return_a_zone_in_quick_turns(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against two changes of one epoch, a resend that acts again, and VMs that stay stopped."""
     key = await operator.grant_key("granite-hearth")
@@ -157,14 +169,17 @@
     await wait_until(lambda: all_done(operator, accepted), timeout_s=RUN_S)
 
 
-def late_starts(outside: Outside, names: tuple[str, ...], *, between: tuple[float, float]) -> list[float]:
-    workers = [worker for worker in outside.workers.values() if worker.zone in names]
+def late_starts(
+    fleet_stand_in: FleetStandIn, names: tuple[str, ...], *, between: tuple[float, float]
+) -> list[float]:
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.zone in names]
     return [at for worker in workers for at, *_ in worker.starts if between[0] < at < between[1]]
 
 
-async def started_in(outside: Outside, names: tuple[str, ...]) -> bool:
+async def started_in(fleet_stand_in: FleetStandIn, names: tuple[str, ...]) -> bool:
     return all(
-        any(worker.starts for worker in outside.workers.values() if worker.zone == zone) for zone in names
+        any(worker.starts for worker in fleet_stand_in.workers.values() if worker.zone == zone)
+        for zone in names
     )
 
 
