--- a/src/hyssopway_standins/command_line.py
+++ b/src/hyssopway_standins/command_line.py
@@ -12,18 +12,18 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Finished:
+class CommandResult:
     """A command that ended.
 
     Attributes:
         status: Exit status.
-        out: Standard output.
-        err: Standard error.
+        stdout: Standard output.
+        stderr: Standard error.
     """
 
     status: int
-    out: str
-    err: str
+    stdout: str
+    stderr: str
 
 
 @dataclass(slots=True, kw_only=True)
@@ -38,7 +38,7 @@
     deployment: Deployment
     operator: str = "demo"
 
-    async def run(self, *arguments: str, first: str = "", key: str = "") -> Finished:
+    async def run(self, *arguments: str, first: str = "", key: str = "") -> CommandResult:
         """Runs one command.
 
         Args:
@@ -63,12 +63,12 @@
         )
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                out, err = await process.communicate()
+                stdout, stderr = await process.communicate()
         except TimeoutError:
             process.kill()
             await process.wait()
             raise
-        return Finished(status=process.returncode or 0, out=out.decode(), err=err.decode())
+        return CommandResult(status=process.returncode or 0, stdout=stdout.decode(), stderr=stderr.decode())
 
 
-__all__ = ["CommandLine", "Finished"]
+__all__ = ["CommandLine", "CommandResult"]
--- a/src/hyssopway_standins/demo.py
+++ b/src/hyssopway_standins/demo.py
@@ -26,7 +26,7 @@
 
     from hyssopway.document import Service
 
-    from .command_line import Finished
+    from .command_line import CommandResult
 
 JOBS = 6
 WITHDRAWN_S = 5.0
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Runs all steps in order."""
         for title, step in (
-            ("Document", self.put_in_force),
+            ("Document", self.activate_document),
             ("Endpoints and workers start", self.fleet_stand_in.start),
             ("Key", self.grant_key),
             ("Requests", self.call_services),
@@ -75,7 +75,7 @@
             print(f"\n{title}")
             await step()
 
-    async def put_in_force(self) -> None:
+    async def activate_document(self) -> None:
         """Checks, tries and promotes the example document."""
         await self.expect("check", self.path)
         await self.expect("promote", self.path, status=3)
@@ -87,7 +87,7 @@
     async def grant_key(self) -> None:
         """Grants a key to the first team."""
         granted = await self.expect("keys", "grant", self.team)
-        self.key = granted.out.strip()
+        self.key = granted.stdout.strip()
 
     async def call_services(self) -> None:
         """Calls an open, a keyed and a non-idempotent service through every entry VM."""
@@ -105,7 +105,8 @@
             )
             if not service.idempotent:
                 runs = sum(
-                    endpoint.seen[f"resent-{kind}"] for endpoint in self.fleet_stand_in.endpoints.values()
+                    endpoint.request_counts[f"resent-{kind}"]
+                    for endpoint in self.fleet_stand_in.endpoints.values()
                 )
                 self.summary.compare(
                     f"runs of one {service.name} request sent 6 times", expected=1, found=runs
@@ -121,7 +122,7 @@
         jobs = await self.submit_jobs()
         self.summary.compare("jobs done", expected=JOBS, found=await self._count_done(jobs))
         explained = await self.expect("explain", "job", jobs[0], "--json")
-        history = json.loads(explained.out or "{}").get("history", [])
+        history = json.loads(explained.stdout or "{}").get("history", [])
         self.summary.compare(
             "explanation names the run", expected=True, found=any("run 1" in h for h in history)
         )
@@ -129,7 +130,7 @@
     async def withdraw_key(self) -> None:
         """Withdraws a key and measures until no entry VM accepts it."""
         service = self._pick_services()["keyed"]
-        second = (await self.expect("keys", "grant", self.team)).out.strip()
+        second = (await self.expect("keys", "grant", self.team)).stdout.strip()
         await self._wait_served(service, key=second)
         started = time.monotonic()
         await self.expect("keys", "withdraw", second.split("_")[1])
@@ -154,7 +155,7 @@
         )
         self.summary.compare(f"starts in {zone} while out", expected=0, found=self._starts_in(zone) - before)
         await self.expect("zones", "restore", zone, "--at-once", "--wait")
-        listed = json.loads((await self.expect("zones", "list", "--json")).out)["zones"]
+        listed = json.loads((await self.expect("zones", "list", "--json")).stdout)["zones"]
         self.summary.compare("zones open again", expected=len(listed), found=_count(listed, status="open"))
 
     async def kill_daemon(self) -> None:
@@ -179,7 +180,7 @@
         self.summary.compare("daemons that are confirmed", expected=6, found=confirmed)
         dumped = await self.expect("dump", quiet=True)
         self.summary.compare(
-            "dump holds secrets", expected=False, found=self.key.rsplit("_")[-1] in dumped.out
+            "dump holds secrets", expected=False, found=self.key.rsplit("_")[-1] in dumped.stdout
         )
 
     async def submit_jobs(self) -> list[str]:
@@ -192,18 +193,18 @@
             pool = pools[number % len(pools)]
             command = ("jobs", "submit", *options, "--pool", pool)
             done = await self.cli.run(*command, first=names[number % len(names)], key=self.key)
-            return done.out.strip()
+            return done.stdout.strip()
 
         jobs = await asyncio.gather(*(submit(number) for number in range(JOBS)))
         print(f"submitted {len([job for job in jobs if job])} jobs through {len(names)} entry VMs")
         return list(jobs)
 
-    async def expect(self, *arguments: str, status: int = 0, quiet: bool = False) -> Finished:
+    async def expect(self, *arguments: str, status: int = 0, quiet: bool = False) -> CommandResult:
         """Runs a command, prints it and compares its exit status."""
         done = await self.cli.run(*arguments, key=self.key)
         shown = [Path(part).name if "/" in part else part for part in arguments]
         print(f"$ hyssopway {' '.join(shown)}")
-        text = (done.out + done.err).replace(self.key or "\0", "KEY")
+        text = (done.stdout + done.stderr).replace(self.key or "\0", "KEY")
         if not quiet and not {"grant", "--json"} & set(arguments):
             print("".join(f"    {line}\n" for line in text.splitlines()[:SHOWN_LINES]), end="")
         self.summary.compare(f"exit status of {' '.join(shown[:2])}", expected=status, found=done.status)
@@ -248,7 +249,7 @@
 
     async def _find(self, jobs: list[str], *, ended: bool) -> list[dict[str, Any]]:
         listed = await self.cli.run("jobs", "list", "--json", key=self.key)
-        found = json.loads(listed.out)["jobs"] if listed.status == 0 else []
+        found = json.loads(listed.stdout)["jobs"] if listed.status == 0 else []
         return [job for job in found if job["job_id"] in jobs and (not ended or job["ended_ms"])]
 
     async def _pick_victim(self) -> str:
@@ -263,7 +264,7 @@
 
     async def _daemons(self) -> list[dict[str, Any]]:
         status = await self.cli.run("status", "--json")
-        daemons: list[dict[str, Any]] = json.loads(status.out)["daemons"]
+        daemons: list[dict[str, Any]] = json.loads(status.stdout)["daemons"]
         return daemons
 
     def _starts_in(self, zone: str) -> int:
--- a/src/hyssopway_standins/endpoint.py
+++ b/src/hyssopway_standins/endpoint.py
@@ -30,12 +30,12 @@
         slots: Requests that it announces to handle at a time.
         connections: Connections that it announces to accept.
         service_s: Time that a request takes.
-        seen: Requests by idempotency key.
+        request_counts: Requests by idempotency key.
         received: Requests received.
         completed: Requests answered in whole.
         in_progress: Requests in progress.
-        most_in_progress: Most requests in progress at once.
-        cut: Requests whose connection broke before their answer.
+        peak_in_progress: Most requests in progress at once.
+        aborted: Requests whose connection broke before their answer.
         received_at: Local time of the last request received.
         left: Whether it left on the order of its VM.
         leaving: Tells the entries that it left.
@@ -50,12 +50,12 @@
     slots: int = 8
     connections: int = 64
     service_s: float = 0.01
-    seen: Counter[str] = field(default_factory=Counter)
+    request_counts: Counter[str] = field(default_factory=Counter)
     received: int = 0
     completed: int = 0
     in_progress: int = 0
-    most_in_progress: int = 0
-    cut: int = 0
+    peak_in_progress: int = 0
+    aborted: int = 0
     received_at: float = 0.0
     address: str = ""
     runner: web.AppRunner | None = None
@@ -110,17 +110,17 @@
         self.received += 1
         self.received_at = time.monotonic()
         self.in_progress += 1
-        self.most_in_progress = max(self.most_in_progress, self.in_progress)
+        self.peak_in_progress = max(self.peak_in_progress, self.in_progress)
         try:
             body = await request.read()
-            self.seen[request.headers.get("Idempotency-Key", "")] += 1
+            self.request_counts[request.headers.get("Idempotency-Key", "")] += 1
             await asyncio.sleep(float(request.headers.get(SECONDS_HEADER, self.service_s)))
             self.completed += 1
             request_id = request.headers.get("Hyssopway-Request-Id", "")
             headers = {"Served-By": self.name, "Hyssopway-Request-Id": request_id}
             return web.Response(body=body, headers=headers)
         except asyncio.CancelledError:
-            self.cut += 1
+            self.aborted += 1
             raise
         finally:
             self.in_progress -= 1
--- a/src/hyssopway_standins/job_load.py
+++ b/src/hyssopway_standins/job_load.py
@@ -20,7 +20,7 @@
     key: str,
     pools: Sequence[str],
     accepted: list[str],
-    for_s: float,
+    duration_s: float,
 ) -> None:
     """Submits eight jobs a second for a bounded time; every other one of a pool can be checkpointed.
 
@@ -30,10 +30,10 @@
         key: Key of a team.
         pools: Pools that get jobs in turn.
         accepted: Takes the ids of accepted jobs.
-        for_s: Seconds after which no more jobs are submitted.
+        duration_s: Seconds after which no more jobs are submitted.
     """
     headers = {"Authorization": f"Bearer {key}"}
-    for number in range(int(for_s / INTERVAL_S)):
+    for number in range(int(duration_s / INTERVAL_S)):
         spec = {
             "task_kind": "plan",
             "pool": pools[number % len(pools)],
--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -108,7 +108,7 @@
         figures[f"{prefix}_finished"] = float(wave.status is WaveStatus.DONE)
         figures[f"{prefix}_maintained_vms"] = float(wave.count(WaveVmStatus.DONE))
         figures[f"{prefix}_rebooted_twice_vms"] = float(sum(n > 1 for n in driver.reboots.values()))
-        figures[f"{prefix}_most_down_in_pool_vms"] = float(max(driver.most_down.values()))
+        figures[f"{prefix}_most_down_in_pool_vms"] = float(max(driver.peak_down.values()))
     return figures
 
 
@@ -129,7 +129,7 @@
     match number:
         case 20:
             driver.change(down, VmState.DOWN)
-            driver.never_return.add(lost)
+            driver.failing_reboots.add(lost)
         case 30:
             driver.change(quarantined, VmState.QUARANTINED)
         case 40:
--- a/src/hyssopway_standins/measure/job_world.py
+++ b/src/hyssopway_standins/measure/job_world.py
@@ -65,7 +65,7 @@
             f"  - {{name: {team}, share: {weight}, max_running: 1000000, limit: {limit}}}"
             for team, weight in self.weights.items()
         )
-        self.put_in_force(f"name: measure\nzones: [a, b, c, d]\npools:\n  - name: p\nteams:\n{teams}\n")
+        self.activate_document(f"name: measure\nzones: [a, b, c, d]\npools:\n  - name: p\nteams:\n{teams}\n")
         for number in range(vms):
             zone = "abcd"[number % 4]
             command = RegisterVm(
@@ -79,7 +79,7 @@
             )
             self.apply(command)
 
-    def put_in_force(self, text: str) -> None:
+    def activate_document(self, text: str) -> None:
         """Tries and promotes a document, and grants a key to each team."""
         tried = self.apply(TrialDocument(text=text, expected_generation=0, request_id="t", operator="o"))
         self.apply(
--- a/src/hyssopway_standins/measure/jobs.py
+++ b/src/hyssopway_standins/measure/jobs.py
@@ -225,10 +225,10 @@
     workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "pickup"]
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
-        await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+        await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
         key = await operator.grant_key("granite-hearth")
         entries = [TeamJobs(session=session, url=url, key=key) for url in urls]
-        await _wait_for(lambda: all(worker.lease_until for worker in workers))
+        await _wait_for(lambda: all(worker.lease_expires_at for worker in workers))
         accepted: dict[str, float] = {}
         # 20 jobs a second of 0.5 s each hold about ten cores.
         for number in range(count):
--- a/src/hyssopway_standins/measure/nodes.py
+++ b/src/hyssopway_standins/measure/nodes.py
@@ -67,7 +67,7 @@
     async with aiohttp.ClientSession() as session:
         url = next(iter(deployment.daemons.values())).url
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
-        await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+        await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
     idle = await _cost(deployment)
     workers: list[WorkerStandIn] = []
     cpu: list[tuple[float, float]] = [(0, idle.cpu)]
--- a/src/hyssopway_standins/measure/requests.py
+++ b/src/hyssopway_standins/measure/requests.py
@@ -63,7 +63,7 @@
         operator = OperatorClient(
             session=session, url=deployment.entries("Nashua")[0], token=deployment.operator_token
         )
-        await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+        await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
         key = await operator.grant_key("casco-bay")
         await _measure_path(deployment, session, measurement, key=key, quick=quick)
         await _measure_bursts(deployment, session, measurement, rng=rng, quick=quick)
--- a/src/hyssopway_standins/measure/spread.py
+++ b/src/hyssopway_standins/measure/spread.py
@@ -72,7 +72,7 @@
     async with aiohttp.ClientSession() as session:
         url = next(iter(deployment.daemons.values())).url
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
-        await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+        await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
         daemons = list(deployment.daemons)
         for name, upstreams in (
             ("all 6 daemon processes", daemons),
--- a/src/hyssopway_standins/measure/zone_work.py
+++ b/src/hyssopway_standins/measure/zone_work.py
@@ -45,7 +45,7 @@
         demand: Cores asked for by pool.
         failed: VMs that are down by their time of return.
         accepted: Accepted jobs.
-        most_down: Most planned stops at once in a pool.
+        peak_down: Most planned stops at once in a pool.
         late_starts: Starts in the zone later than 5 s after it was withdrawn.
     """
 
@@ -55,7 +55,7 @@
     demand: dict[str, float] = field(default_factory=dict)
     failed: dict[str, float] = field(default_factory=dict)
     accepted: int = 0
-    most_down: int = 0
+    peak_down: int = 0
     late_starts: int = 0
 
     async def run(self) -> dict[str, float]:
@@ -87,14 +87,14 @@
             f"{prefix}_accepted": float(self.accepted),
             f"{prefix}_not_done": float(sum(job.status is not JobStatus.DONE for job in jobs)),
             f"{prefix}_late_starts": float(self.late_starts),
-            f"{prefix}_most_planned_down_in_pool_vms": float(self.most_down),
+            f"{prefix}_most_planned_down_in_pool_vms": float(self.peak_down),
         }
 
     def _prepare(self) -> str:
         data = yaml.safe_load((EXAMPLES / self.deployment / "document.yaml").read_text())
         limit = {"cores": 1e6, "memory_gb": 1e6, "accelerators": 0}
         data["teams"] = [{"name": TEAM, "share": 1, "max_running": 1_000_000, "limit": limit}]
-        self.world.put_in_force(yaml.safe_dump(data))
+        self.world.activate_document(yaml.safe_dump(data))
         document = load_example_document(self.deployment)
         for place in place_vms(document=document, sizes=load_sizes(self.deployment)):
             self.world.apply(
@@ -165,7 +165,7 @@
                 self._end_runs(vm, outcome=RunOutcome.CHECKPOINTED, checkpointable=True)
                 self._change(vm, VmState.DRAINED)
         planned = Counter(tables.vms[name].pool for name in tables.permits)
-        self.most_down = max(self.most_down, *planned.values(), 0)
+        self.peak_down = max(self.peak_down, *planned.values(), 0)
 
     def _end_runs(self, vm: Vm, *, outcome: RunOutcome, checkpointable: bool) -> None:
         state = self.world.replica.state
--- a/src/hyssopway_standins/network.py
+++ b/src/hyssopway_standins/network.py
@@ -115,10 +115,10 @@
         return b""
 
 
-def between(some: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
+def both_directions(some: Iterable[str], others: Iterable[str]) -> set[tuple[str, str]]:
     """Returns both directions between two groups of daemons."""
     pairs = {(one, other) for one in some for other in others if one != other}
     return pairs | {(other, one) for one, other in pairs}
 
 
-__all__ = ["Network", "between"]
+__all__ = ["Network", "both_directions"]
--- a/src/hyssopway_standins/operator_client.py
+++ b/src/hyssopway_standins/operator_client.py
@@ -54,7 +54,7 @@
         async with self.session.delete(f"{self.url}{path}", headers=self._headers()) as answer:
             return await _check(answer)
 
-    async def put_in_force(self, text: str) -> str:
+    async def activate_document(self, text: str) -> str:
         """Tries and promotes a document on an empty deployment; returns its digest."""
         tried = await self.post("/v1/documents/trial", {"text": text, "expected_generation": 0})
         digest = str(tried["reference"])
--- a/src/hyssopway_standins/platform.py
+++ b/src/hyssopway_standins/platform.py
@@ -23,16 +23,16 @@
 class PlatformFault(StrEnum):
     """How the platform treats an operation."""
 
-    SAYS_DONE = "says_done"
-    NEVER_ANSWERS = "never_answers"
-    ANSWERS_LATE = "answers_late"
-    TWICE = "twice"
+    FALSE_SUCCESS = "says_done"
+    NO_RESPONSE = "never_answers"
+    LATE_RESPONSE = "answers_late"
+    EXECUTED_TWICE = "twice"
     FALSELY_HEALTHY = "falsely_healthy"
-    BREAKS = "breaks"
+    SERVER_ERROR = "breaks"
 
 
 @dataclass(slots=True, kw_only=True)
-class PlatformVmTruth:
+class SimulatedVm:
     """What really happened to a VM.
 
     Attributes:
@@ -62,7 +62,7 @@
         on_reboot: Called with a VM when it reboots, so that its worker restarts.
     """
 
-    vms: dict[str, PlatformVmTruth]
+    vms: dict[str, SimulatedVm]
     faults: dict[str, list[PlatformFault]] = field(default_factory=dict)
     late_s: float = 1.0
     act_s: float = 0.0
@@ -113,16 +113,16 @@
         self, name: str, *, action: PlatformAction, operation_id: str, fault: PlatformFault | None
     ) -> web.Response:
         match fault:
-            case PlatformFault.SAYS_DONE:
+            case PlatformFault.FALSE_SUCCESS:
                 return json_response(self._show(name))
-            case PlatformFault.BREAKS:
+            case PlatformFault.SERVER_ERROR:
                 return json_response({}, status=500)
-            case PlatformFault.NEVER_ANSWERS:
+            case PlatformFault.NO_RESPONSE:
                 self._act(name, action=action, operation_id=operation_id)
                 await asyncio.sleep(60.0)
-            case PlatformFault.ANSWERS_LATE:
+            case PlatformFault.LATE_RESPONSE:
                 await asyncio.sleep(self.late_s)
-            case PlatformFault.TWICE:
+            case PlatformFault.EXECUTED_TWICE:
                 self._act(name, action=action, operation_id=operation_id)
                 self.vms[name].operations.remove(operation_id)
             case PlatformFault.FALSELY_HEALTHY:
@@ -145,4 +145,4 @@
         return PlatformVm(name=name, state=truth.state, healthy=True, operations=truth.operations[-20:])
 
 
-__all__ = ["PlatformFault", "PlatformStandIn", "PlatformVmTruth"]
+__all__ = ["PlatformFault", "PlatformStandIn", "SimulatedVm"]
--- a/src/hyssopway_standins/wave_driver.py
+++ b/src/hyssopway_standins/wave_driver.py
@@ -27,9 +27,9 @@
         reboot_ms: Time until a rebooted VM syncs again.
         one_at_a_time: Plain baseline that stops a VM only when no other one is stopped.
         repeat_steps: Whether an older leader proposes each step again.
-        never_return: VMs that do not come back.
+        failing_reboots: VMs that do not come back.
         reboots: Reboots by VM.
-        most_down: Most VMs down at once by pool.
+        peak_down: Most VMs down at once by pool.
         rebooting: Time at which each rebooting VM is back.
         returned: Waves and VMs that are back.
     """
@@ -40,9 +40,9 @@
     round_ms: int = 5_000
     one_at_a_time: bool = False
     repeat_steps: bool = False
-    never_return: set[str] = field(default_factory=set)
+    failing_reboots: set[str] = field(default_factory=set)
     reboots: Counter[str] = field(default_factory=Counter)
-    most_down: Counter[str] = field(default_factory=Counter)
+    peak_down: Counter[str] = field(default_factory=Counter)
     rebooting: dict[str, int] = field(default_factory=dict)
     returned: set[tuple[str, str]] = field(default_factory=set)
 
@@ -74,7 +74,7 @@
                 isinstance(step, AdvanceWave)
                 and step.status is WaveVmStatus.REBOOTING
                 and refused is None
-                and step.vm not in self.never_return
+                and step.vm not in self.failing_reboots
             ):
                 self.reboots[step.vm] += 1
                 self.rebooting[step.vm] = self.state_machine.now_ms + self.reboot_ms
@@ -83,7 +83,7 @@
         self._empty_vms()
         self._boot_vms()
         down = Counter(vm.pool for vm in state.tables.vms.values() if vm.state is not VmState.READY)
-        self.most_down |= down
+        self.peak_down |= down
 
     def change(self, vm: str, state: VmState) -> None:
         """Reports a state of a VM."""
--- a/src/hyssopway_standins/worker.py
+++ b/src/hyssopway_standins/worker.py
@@ -71,7 +71,7 @@
     ends: list[tuple[float, str, int]] = field(default_factory=list)
     tasks: dict[str, RunningStandInTask] = field(default_factory=dict)
     ended: dict[str, EndedRun] = field(default_factory=dict)
-    lease_until: float = 0.0
+    lease_expires_at: float = 0.0
     boot_id: str = field(default_factory=lambda: secrets.token_hex(4))
     loop_task: asyncio.Task[None] | None = None
     number: int = 0
@@ -163,12 +163,12 @@
                 self._begin(order)
         return True
 
-    def _renew(self, lease_until: float) -> None:
+    def _renew(self, lease_expires_at: float) -> None:
         # A timer of its own ends the lease on time also while a sync waits for an answer.
-        self.lease_until = lease_until
+        self.lease_expires_at = lease_expires_at
         if self.lease_timer is not None:
             self.lease_timer.cancel()
-        left_s = max(0.0, lease_until - time.monotonic())
+        left_s = max(0.0, lease_expires_at - time.monotonic())
         self.lease_timer = asyncio.get_running_loop().call_later(left_s, self._stop_all, "lease ended")
 
     def make_report(self) -> SyncRequest:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -67,7 +67,7 @@
     """An operator who put the example document in force."""
     url = deployment.daemons["nashua-1"].url
     client = OperatorClient(session=session, url=url, token=deployment.operator_token)
-    await client.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+    await client.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
     return client
 
 
--- a/tests/fleet/test_rebooter.py
+++ b/tests/fleet/test_rebooter.py
@@ -24,7 +24,7 @@
 def rebooting():
     """A wave whose first VM waits for the platform."""
     driver = WaveDriver(
-        state_machine=StateMachineStandIn.prepare_example("pantry"), never_return={"pickup-vm-1"}
+        state_machine=StateMachineStandIn.prepare_example("pantry"), failing_reboots={"pickup-vm-1"}
     )
     wave = driver.start("pickup")
     while not wave.count(WaveVmStatus.REBOOTING):
--- a/tests/fleet/test_waves.py
+++ b/tests/fleet/test_waves.py
@@ -44,7 +44,7 @@
     document = driver.state_machine.state.document()
     assert (wave.status, wave.reason) == (WaveStatus.DONE, "every VM was visited")
     assert driver.reboots == dict.fromkeys(driver.state_machine.state.tables.vms, 1)
-    assert all(driver.most_down[pool.name] <= pool.budget.max_down for pool in document.pools)
+    assert all(driver.peak_down[pool.name] <= pool.budget.max_down for pool in document.pools)
     assert not driver.state_machine.state.tables.permits
     assert {vm.state for vm in driver.state_machine.state.tables.vms.values()} == {VmState.READY}
 
@@ -54,7 +54,7 @@
     wave = driver.start()
     while not wave.count(WaveVmStatus.DONE):
         driver.run_round()
-        assert sum(driver.most_down.values()) <= 1
+        assert sum(driver.peak_down.values()) <= 1
 
 
 def test_new_leader_continues_from_a_snapshot(driver):
@@ -93,7 +93,7 @@
 def test_losses_pause_the_wave_and_are_replaced(driver, case):
     """Guards against a wave that goes on while it destroys VMs."""
     lost, status, reason = LOSSES[case]
-    driver.never_return = set(lost)
+    driver.failing_reboots = set(lost)
     wave = driver.start()
     driver.run(wave)
     assert wave.status is status
@@ -161,7 +161,7 @@
 
 def test_lost_vm_takes_no_work_until_its_reboot_is_over(driver):
     """Guards against tasks that a late reboot of the platform cuts off."""
-    driver.never_return = {"back-office-vm-1"}
+    driver.failing_reboots = {"back-office-vm-1"}
     wave = driver.start()
     driver.run(wave)
     vm = driver.state_machine.vm("back-office-vm-1")
@@ -217,11 +217,11 @@
     # The stops from before end first: a drain of 20 s and a reboot of 60 s are 16 rounds.
     for _ in range(20):
         driver.run_round()
-    driver.most_down.clear()
+    driver.peak_down.clear()
     driver.run(wave)
     assert wave.status is WaveStatus.DONE
     if case == "lower budget":
-        assert max(driver.most_down.values()) == 1
+        assert max(driver.peak_down.values()) == 1
         assert driver.reboots == dict.fromkeys(wave.vms, 1)
     skipped = wave.select(WaveVmStatus.SKIPPED)
     assert {driver.state_machine.vm(name).pool for name in skipped} <= {"pickup"}
--- a/tests/fleet/test_zones.py
+++ b/tests/fleet/test_zones.py
@@ -40,7 +40,7 @@
             driver.state_machine.apply(step)
         driver.run_round()
         for pool in document.pools:
-            assert driver.most_down[pool.name] <= pool.budget.max_down
+            assert driver.peak_down[pool.name] <= pool.budget.max_down
     return returned
 
 
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -62,9 +62,9 @@
     ):
         done = await cli.run(*command.replace("KEY", key_id).split())
         if command == "keys grant granite-hearth":
-            key_id = done.out.split("_")[1]
-        progress = [line for line in done.err.splitlines() if not line.startswith("in force on")]
-        shown, out, err = command, done.out, "\n".join(progress)
+            key_id = done.stdout.split("_")[1]
+        progress = [line for line in done.stderr.splitlines() if not line.startswith("in force on")]
+        shown, out, err = command, done.stdout, "\n".join(progress)
         for path, name in names.items():
             shown, out, err = (text.replace(path, name) for text in (shown, out, err))
         session.add(f"hyssopway {shown}", out, err, f"[{done.status}]")
@@ -125,7 +125,7 @@
         waves = (await operator.get("/v1/waves"))["waves"]
         real = command.replace("WAVE", waves[0]["wave"] if waves else "")
         done = await cli.run(*real.split(), key=key)
-        session.add(f"hyssopway {command}", done.out, done.err, f"[{done.status}]")
+        session.add(f"hyssopway {command}", done.stdout, done.stderr, f"[{done.status}]")
         if wanted:
             await wait_until(lambda state=wanted: reached(state))
     session.compare("fleet", rewrite=rewrite)
--- a/tests/platform/test_platform_client.py
+++ b/tests/platform/test_platform_client.py
@@ -6,12 +6,12 @@
 
 from hyssopway.platform import PlatformAction, PlatformClient, PlatformState
 from hyssopway.result import ResultCode
-from hyssopway_standins.platform import PlatformFault, PlatformStandIn, PlatformVmTruth
+from hyssopway_standins.platform import PlatformFault, PlatformStandIn, SimulatedVm
 
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={"vm-1": PlatformVmTruth(), "vm-2": PlatformVmTruth()})
+    prepared = PlatformStandIn(vms={"vm-1": SimulatedVm(), "vm-2": SimulatedVm()})
     await prepared.start()
     yield prepared
     await prepared.stop()
@@ -27,11 +27,11 @@
 # Faults of one operation, how often it took effect, and how often it was asked for.
 CASES = {
     "no fault": ([], 1, 1),
-    "says done and is not": ([PlatformFault.SAYS_DONE] * 2, 1, 3),
-    "never answers": ([PlatformFault.NEVER_ANSWERS], 1, 1),
-    "answers late": ([PlatformFault.ANSWERS_LATE], 1, 2),
-    "breaks, then says done": ([PlatformFault.BREAKS, PlatformFault.SAYS_DONE], 1, 3),
-    "done twice by the platform": ([PlatformFault.TWICE], 2, 1),
+    "says done and is not": ([PlatformFault.FALSE_SUCCESS] * 2, 1, 3),
+    "never answers": ([PlatformFault.NO_RESPONSE], 1, 1),
+    "answers late": ([PlatformFault.LATE_RESPONSE], 1, 2),
+    "breaks, then says done": ([PlatformFault.SERVER_ERROR, PlatformFault.FALSE_SUCCESS], 1, 3),
+    "done twice by the platform": ([PlatformFault.EXECUTED_TWICE], 2, 1),
 }
 
 
@@ -55,8 +55,8 @@
     ("vm", "faults", "code"),
     [
         ("vm-9", [], ResultCode.PLATFORM_REFUSED),
-        ("vm-1", [PlatformFault.SAYS_DONE] * 500, ResultCode.PLATFORM_UNCERTAIN),
-        ("vm-1", [PlatformFault.BREAKS] * 500, ResultCode.PLATFORM_UNCERTAIN),
+        ("vm-1", [PlatformFault.FALSE_SUCCESS] * 500, ResultCode.PLATFORM_UNCERTAIN),
+        ("vm-1", [PlatformFault.SERVER_ERROR] * 500, ResultCode.PLATFORM_UNCERTAIN),
     ],
 )
 async def test_operation_that_is_never_shown_fails(platform, client, vm, faults, code):
--- a/tests/whole/test_changes.py
+++ b/tests/whole/test_changes.py
@@ -26,10 +26,10 @@
     headers = {"Authorization": f"Bearer {key}"}
     async with session.post(f"{frozen.url}/call/restock-plan", data=b"x", headers=headers) as answer:
         body = await answer.json()
-    assert done.status == 0, done.err
-    assert "not confirmed on portland-1: without authority on older state from" in done.out
+    assert done.status == 0, done.stderr
+    assert "not confirmed on portland-1: without authority on older state from" in done.stdout
     assert elapsed_s >= 3.0
-    assert withdrawn.status == 0, withdrawn.err
+    assert withdrawn.status == 0, withdrawn.stderr
     assert body["name"] in ("KEY_UNCONFIRMED", "KEY_INVALID"), body
 
 
@@ -39,8 +39,8 @@
     command = ("promote", DOCUMENT, "--expect", "1", "--request-id", "resent")
     answers = [await cli.run(*command, first=name) for name in deployment.daemons]
     assert {answer.status for answer in answers} == {0}
-    assert len({answer.out for answer in answers}) == 1
+    assert len({answer.stdout for answer in answers}) == 1
     other = await cli.run("zones", "withdraw", "Portland", "--request-id", "resent")
     assert other.status == 3
-    assert "302 REQUEST_ID_REUSED" in other.err
+    assert "302 REQUEST_ID_REUSED" in other.stderr
     assert (await operator.get("/v1/documents/production"))["generation"] == 2
--- a/tests/whole/test_crash_points.py
+++ b/tests/whole/test_crash_points.py
@@ -49,7 +49,7 @@
     deployment.start()
     await deployment.wait_ready()
     client = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
-    await client.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+    await client.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
     deployment.stop()
     for daemon in deployment.daemons.values():
         count = rng.randint(1, 2) if rare else rng.randint(10, 60)
--- a/tests/whole/test_cuts.py
+++ b/tests/whole/test_cuts.py
@@ -14,7 +14,7 @@
 
 from daemon_dumps import find_leader, replicas_converged
 from hyssopway_standins.job_load import submit_jobs
-from hyssopway_standins.network import Network, between
+from hyssopway_standins.network import Network, both_directions
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
@@ -38,7 +38,7 @@
 
 
 def alone(*names: str) -> Directions:
-    return between(names, set(DAEMONS) - set(names))
+    return both_directions(names, set(DAEMONS) - set(names))
 
 
 def voters_without(leader: str) -> list[str]:
@@ -72,12 +72,12 @@
     ),
     Case(
         "leader from two voters",
-        lambda leader: between([leader], voters_without(leader)[:2]),
+        lambda leader: both_directions([leader], voters_without(leader)[:2]),
         lambda leader: set(voters_without(leader)[:2]),
     ),
     Case(
         "leader from three voters",
-        lambda leader: between([leader], voters_without(leader)[:3]),
+        lambda leader: both_directions([leader], voters_without(leader)[:3]),
         lambda leader: {leader},
     ),
     Case("leader cannot send", mute, lambda leader: {leader}),
@@ -107,7 +107,7 @@
                 self.results.append((sent_at, 0, repr(error)))
             await asyncio.sleep(PROBE_S)
 
-    def between(self, start: float, end: float) -> Counter[int]:
+    def both_directions(self, start: float, end: float) -> Counter[int]:
         return Counter(status for sent_at, status, _ in self.results if start < sent_at < end)
 
 
@@ -166,7 +166,7 @@
             key=await operator.grant_key("granite-hearth"),
             pools=("restock", "pickup"),
             accepted=[],
-            for_s=60,
+            duration_s=60,
         )
         load.append(group.create_task(jobs))
         await wait_until(lambda: started_in(fleet_stand_in, zone))
@@ -186,14 +186,14 @@
             task.cancel()
     assert withdrawn_at - cut_at < LIMIT_S
     for probe in keyed:
-        statuses = probe.between(withdrawn_at + LIMIT_S, healed_at + LIMIT_S)
+        statuses = probe.both_directions(withdrawn_at + LIMIT_S, healed_at + LIMIT_S)
         assert statuses, probe.daemon
         assert set(statuses) <= {403, 503}, (probe.daemon, probe.results[-5:])
     # Endpoints announce themselves to the first entry of their zone; another entry knows them through it only.
     homes = {deployment.entries(deployment.daemons[name].zone)[0] for name in cut_off}
     for probe in queues:
         if deployment.daemons[probe.daemon].url in homes:
-            served = probe.between(cut_at + LIMIT_S, healed_at)
+            served = probe.both_directions(cut_at + LIMIT_S, healed_at)
             assert served[200] >= sum(served.values()) - 1 > 0, (probe.daemon, probe.results[-5:])
     starts = [
         start[0]
--- a/tests/whole/test_job_faults.py
+++ b/tests/whole/test_job_faults.py
@@ -61,7 +61,7 @@
     url = deployment.daemons["nashua-1"].url
     operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
     text = (EXAMPLES / "pantry" / "document.yaml").read_text()
-    await operator.put_in_force(text.replace("cut_off_run_s: 120", "cut_off_run_s: 5"))
+    await operator.activate_document(text.replace("cut_off_run_s: 120", "cut_off_run_s: 5"))
     key = await operator.grant_key(TEAMS[0])
     fleet_stand_in = FleetStandIn.prepare(deployment)
     await fleet_stand_in.start()
@@ -93,7 +93,7 @@
     key = await operator.grant_key(TEAMS[0])
     workers = list(fleet_stand_in.workers.values())
     lost = [worker for worker in workers if worker.zone == "Portland"]
-    await _wait_until(lambda: all(worker.lease_until for worker in workers))
+    await _wait_until(lambda: all(worker.lease_expires_at for worker in workers))
     before = await _submit_many(deployment, session, key=key, numbers=range(20))
     await _wait_until(lambda: any(worker.starts for worker in lost))
     deployment.daemons["portland-1"].kill()
--- a/tests/whole/test_planned_stops.py
+++ b/tests/whole/test_planned_stops.py
@@ -16,7 +16,7 @@
 
 from hyssopway_standins.endpoint import SECONDS_HEADER
 from hyssopway_standins.fleet import load_example_document
-from hyssopway_standins.platform import PlatformStandIn, PlatformVmTruth
+from hyssopway_standins.platform import PlatformStandIn, SimulatedVm
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={vm: PlatformVmTruth() for vm in WAVE_VMS})
+    prepared = PlatformStandIn(vms={vm: SimulatedVm() for vm in WAVE_VMS})
     await prepared.start()
     yield prepared
     await prepared.stop()
@@ -109,7 +109,7 @@
             shown = await operator.get(f"/v1/waves/{wave}")
             sys.stdout.write(f"wave: {shown}\noutcomes: {dict(truth.outcomes)}\n")
     assert truth.cut == []
-    assert {item.name: item.cut for item in fleet_stand_in.endpoints.values() if item.cut} == {}
+    assert {item.name: item.aborted for item in fleet_stand_in.endpoints.values() if item.aborted} == {}
     assert left.received_at - left_at < LAST_NEW_WORK_S
     assert truth.outcomes["long ok"] > CALLERS / 10
 
--- a/tests/whole/test_races.py
+++ b/tests/whole/test_races.py
@@ -168,7 +168,7 @@
     woken = [*(await asyncio.gather(*waiting)), *[await call(number) for number in range(9, 30)]]
     assert changed_s < 5.0
     assert set(woken) <= {403, 503}
-    seen = {name for endpoint in fleet_stand_in.endpoints.values() for name in endpoint.seen}
+    seen = {name for endpoint in fleet_stand_in.endpoints.values() for name in endpoint.request_counts}
     assert not [name for name in seen if name.startswith("woken-") and name != "woken-0"]
     await wait_until(lambda: replicas_converged(deployment, operator))
 
--- a/tests/whole/test_requests_under_faults.py
+++ b/tests/whole/test_requests_under_faults.py
@@ -116,8 +116,8 @@
     sys.stdout.write(f"outcomes: {dict(truth.outcomes)}\n")
     seen: Counter[str] = Counter()
     for endpoint in fleet_stand_in.endpoints.values():
-        assert endpoint.most_in_progress <= endpoint.slots, endpoint.name
-        seen += endpoint.seen
+        assert endpoint.peak_in_progress <= endpoint.slots, endpoint.name
+        seen += endpoint.request_counts
     assert not truth.wrong
     assert max(count for name, count in seen.items() if name.startswith("once-")) == 1
     assert [name for name in truth.not_run if name.startswith("plain-") and seen[name]] == []
--- a/tests/whole/test_stopped_process.py
+++ b/tests/whole/test_stopped_process.py
@@ -43,4 +43,4 @@
     await asyncio.sleep(0.1)
     daemon.send(signal.SIGCONT)
     assert set(await asyncio.gather(*calls)) <= {403, 503}
-    assert sum(endpoint.seen[f"van-{name}"] for endpoint in fleet_stand_in.endpoints.values()) == 0
+    assert sum(endpoint.request_counts[f"van-{name}"] for endpoint in fleet_stand_in.endpoints.values()) == 0
--- a/tests/whole/test_wave.py
+++ b/tests/whole/test_wave.py
@@ -11,7 +11,7 @@
 
 from hyssopway.control.record import RunOutcome
 from hyssopway_standins.job_load import submit_jobs
-from hyssopway_standins.platform import PlatformFault, PlatformStandIn, PlatformVmTruth
+from hyssopway_standins.platform import PlatformFault, PlatformStandIn, SimulatedVm
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={vm: PlatformVmTruth() for vm in VMS})
+    prepared = PlatformStandIn(vms={vm: SimulatedVm() for vm in VMS})
     await prepared.start()
     yield prepared
     await prepared.stop()
@@ -66,9 +66,9 @@
 
     platform.on_reboot = reboot
     platform.faults = {
-        "pickup-vm-1": [PlatformFault.SAYS_DONE],
-        "pickup-vm-2": [PlatformFault.BREAKS, PlatformFault.ANSWERS_LATE],
-        "pickup-vm-3": [PlatformFault.NEVER_ANSWERS],
+        "pickup-vm-1": [PlatformFault.FALSE_SUCCESS],
+        "pickup-vm-2": [PlatformFault.SERVER_ERROR, PlatformFault.LATE_RESPONSE],
+        "pickup-vm-3": [PlatformFault.NO_RESPONSE],
     }
     key = await operator.grant_key("granite-hearth")
     jobs = asyncio.create_task(
@@ -78,7 +78,7 @@
             key=key,
             pools=("pickup",),
             accepted=[],
-            for_s=RUN_S,
+            duration_s=RUN_S,
         )
     )
     await wait_until(lambda: registered(operator), timeout_s=RUN_S)
@@ -133,7 +133,7 @@
             key=key,
             pools=("pickup",),
             accepted=accepted,
-            for_s=RUN_S,
+            duration_s=RUN_S,
         )
     )
     try:
--- a/tests/whole/test_whole_path.py
+++ b/tests/whole/test_whole_path.py
@@ -36,7 +36,7 @@
     for daemon in deployment.daemons.values():
         url = f"{daemon.url}/call/van-dispatch/send"
         assert await _call_until_served(session, url, data=b"van", headers=headers) == b"van"
-    assert sum(endpoint.seen["van-1"] for endpoint in fleet_stand_in.endpoints.values()) == 1
+    assert sum(endpoint.request_counts["van-1"] for endpoint in fleet_stand_in.endpoints.values()) == 1
 
 
 async def test_job_is_accepted_placed_run_and_explained(
--- a/tests/whole/test_withdrawal.py
+++ b/tests/whole/test_withdrawal.py
@@ -40,7 +40,9 @@
     url = deployment.daemons["nashua-1"].url
     accepted: list[str] = []
     load = asyncio.create_task(
-        submit_jobs(session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, for_s=RUN_S)
+        submit_jobs(
+            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, duration_s=RUN_S
+        )
     )
     try:
         await wait_until(lambda: all_registered(operator), timeout_s=RUN_S)
@@ -96,7 +98,7 @@
             key=key,
             pools=("restock", "pickup"),
             accepted=accepted,
-            for_s=RUN_S,
+            duration_s=RUN_S,
         )
     )
     try:
@@ -140,7 +142,9 @@
     url = deployment.daemons["worcester-1"].url
     other = OperatorClient(session=session, url=url, token=operator.token, name="lee")
     load = asyncio.create_task(
-        submit_jobs(session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, for_s=RUN_S)
+        submit_jobs(
+            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, duration_s=RUN_S
+        )
     )
     path = f"/v1/zones/{ZONE}"
     try:
