--- a/src/hyssopway_standins/command_line.py
+++ b/src/hyssopway_standins/command_line.py
@@ -1,4 +1,4 @@
-"""Runs the real command line against a deployment."""
+"""Runs the `hyssopway` command line as a subprocess against a deployment."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CommandResult:
-    """A command that ended.
+    """Result of a finished command.
 
     Attributes:
         status: Exit status.
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True, kw_only=True)
 class CommandLine:
-    """Starts `hyssopway` as a process.
+    """Runs `hyssopway` commands in subprocesses.
 
     Attributes:
-        deployment: Deployment that it talks to.
+        deployment: Deployment that the commands are sent to.
         operator: Name that changes are recorded under.
     """
 
@@ -39,12 +39,15 @@
     operator: str = "demo"
 
     async def run(self, *arguments: str, first: str = "", key: str = "") -> CommandResult:
-        """Runs one command.
+        """Runs one command and returns its result.
 
         Args:
             arguments: Command and its options.
-            first: Daemon whose entry VM is asked first.
-            key: Key of a team.
+            first: Daemon whose entry VM is tried first.
+            key: Key of a team; empty to send none.
+
+        Raises:
+            TimeoutError: The command did not end in time; it was killed.
         """
         daemons = sorted(self.deployment.daemons.values(), key=lambda daemon: daemon.name != first)
         entries = [part for daemon in daemons for part in ("--entry", daemon.url)]
--- a/src/hyssopway_standins/demo.py
+++ b/src/hyssopway_standins/demo.py
@@ -29,21 +29,21 @@
     from .command_line import CommandResult
 
 JOBS = 6
-WITHDRAWN_S = 5.0
-IN_FORCE_S = 16.0
-SETTLE_S = 10.0
+MAX_KEY_WITHDRAWAL_S = 5.0
+MAX_ACTIVATION_S = 16.0
+CONDITION_TIMEOUT_S = 10.0
 SHOWN_LINES = 16
 
 
 class Demo:
-    """One demonstration.
+    """Demonstrates a deployment step by step and compares each result with the expected one.
 
     Attributes:
-        deployment: The daemons.
+        deployment: Daemons of the deployment.
         fleet_stand_in: Endpoints and workers.
         session: HTTP client of the callers.
-        cli: The command line.
-        summary: Expected against found.
+        cli: Runs `hyssopway` commands.
+        summary: Expected and actual results.
     """
 
     def __init__(
@@ -76,13 +76,15 @@
             await step()
 
     async def activate_document(self) -> None:
-        """Checks, tries and promotes the example document."""
+        """Checks the example document, runs it in trial and promotes it."""
         await self.expect("check", self.path)
         await self.expect("promote", self.path, status=3)
         await self.expect("trial", self.path)
         started = time.monotonic()
         await self.expect("promote", self.path, "--wait")
-        self.summary.limit("seconds to be in force", at_most=IN_FORCE_S, found=time.monotonic() - started)
+        self.summary.compare_limit(
+            "seconds to be in force", at_most=MAX_ACTIVATION_S, found=time.monotonic() - started
+        )
 
     async def grant_key(self) -> None:
         """Grants a key to the first team."""
@@ -92,7 +94,7 @@
     async def call_services(self) -> None:
         """Calls an open, a keyed and a non-idempotent service through every entry VM."""
         for kind, service in self._pick_services().items():
-            # Endpoints have just started; an entry VM that knows none yet refuses with NO_ENDPOINT.
+            # An entry VM rejects requests with NO_ENDPOINT until the first endpoint has registered with it.
             await self._wait_served(service)
             answers = [
                 await self._call(service, url=daemon.url, tag=f"resent-{kind}")
@@ -118,7 +120,7 @@
                 )
 
     async def run_jobs(self) -> None:
-        """Submits jobs through all entry VMs and explains one."""
+        """Submits jobs through all entry VMs and runs `explain` for one of them."""
         jobs = await self.submit_jobs()
         self.summary.compare("jobs done", expected=JOBS, found=await self._count_done(jobs))
         explained = await self.expect("explain", "job", jobs[0], "--json")
@@ -128,7 +130,7 @@
         )
 
     async def withdraw_key(self) -> None:
-        """Withdraws a key and measures until no entry VM accepts it."""
+        """Withdraws a key and measures the time until every entry VM rejects it."""
         service = self._pick_services()["keyed"]
         second = (await self.expect("keys", "grant", self.team)).stdout.strip()
         await self._wait_served(service, key=second)
@@ -140,12 +142,14 @@
             answers = [await self._call(service, url=url, tag="late", key=second) for url in urls]
             return set(answers) == {403}
 
-        await _until(refused_everywhere)
+        await _wait_until(refused_everywhere)
         found = time.monotonic() - started
-        self.summary.limit("seconds until a withdrawn key stops", at_most=WITHDRAWN_S, found=found)
+        self.summary.compare_limit(
+            "seconds until a withdrawn key stops", at_most=MAX_KEY_WITHDRAWAL_S, found=found
+        )
 
     async def withdraw_zone(self) -> None:
-        """Withdraws a zone, runs jobs elsewhere and restores the zone."""
+        """Withdraws a zone, runs jobs in the other zones and restores the zone."""
         zone = self.document.zones[-1]
         await self.expect("zones", "withdraw", zone, "--wait")
         before = self._starts_in(zone)
@@ -159,7 +163,7 @@
         self.summary.compare("zones open again", expected=len(listed), found=_count(listed, status="open"))
 
     async def kill_daemon(self) -> None:
-        """Kills a daemon, if possible the leader, works on without it and starts it again."""
+        """Kills a daemon, if possible the leader, runs jobs without it and restarts it."""
         victim = await self._pick_victim()
         daemon = self.deployment.daemons[victim]
         daemon.kill()
@@ -174,7 +178,7 @@
         print(f"started {victim} again")
 
     async def show_processes(self) -> None:
-        """Shows status and dump."""
+        """Runs `status` and `dump`."""
         await self.expect("status")
         confirmed = _count(await self._daemons(), confirmed=True)
         self.summary.compare("daemons that are confirmed", expected=6, found=confirmed)
@@ -184,7 +188,7 @@
         )
 
     async def submit_jobs(self) -> list[str]:
-        """Submits jobs to all pools, each through another entry VM first."""
+        """Submits jobs to all pools; each job tries a different entry VM first."""
         names = list(self.deployment.daemons)
         pools = [pool.name for pool in self.document.pools]
 
@@ -200,7 +204,7 @@
         return list(jobs)
 
     async def expect(self, *arguments: str, status: int = 0, quiet: bool = False) -> CommandResult:
-        """Runs a command, prints it and compares its exit status."""
+        """Runs a command, prints it with its output and compares its exit status."""
         done = await self.cli.run(*arguments, key=self.key)
         shown = [Path(part).name if "/" in part else part for part in arguments]
         print(f"$ hyssopway {' '.join(shown)}")
@@ -227,7 +231,7 @@
             ]
             return set(answers) == {200}
 
-        await _until(served_everywhere)
+        await _wait_until(served_everywhere)
 
     async def _call(self, service: Service, *, url: str, tag: str, key: str | None = None) -> int:
         secret = self.key if key is None else key
@@ -244,7 +248,7 @@
         async def all_ended() -> bool:
             return len(await self._find(jobs, ended=True)) == len(jobs)
 
-        await _until(all_ended)
+        await _wait_until(all_ended)
         return _count(await self._find(jobs, ended=True), status="done")
 
     async def _find(self, jobs: list[str], *, ended: bool) -> list[dict[str, Any]]:
@@ -253,7 +257,7 @@
         return [job for job in found if job["job_id"] in jobs and (not ended or job["ended_ms"])]
 
     async def _pick_victim(self) -> str:
-        # In a zone with one entry VM the workers have no other home, and their runs wait for its return.
+        # Workers of a zone with a single entry VM have no other home: their runs would wait for its restart.
         paired = [
             daemon.name
             for daemon in self.deployment.daemons.values()
@@ -277,7 +281,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the demonstration; the exit status is 1 when anything in the summary is wrong."""
+    """Runs the demonstration and returns its exit status: 1 when a result differs from the expected one."""
     parser = argparse.ArgumentParser(description="Demonstration on loopback.")
     parser.add_argument("--deployment", choices=("pantry", "association"), default="pantry")
     return asyncio.run(_run(parser.parse_args(arguments).deployment))
@@ -306,12 +310,12 @@
                 statuses = await asyncio.to_thread(deployment.stop)
     demo.summary.compare("exit statuses of the daemons", expected={0}, found=set(statuses.values()))
     print(f"\n{demo.summary.render()}\n\n{time.monotonic() - started:.1f} s")
-    return 0 if demo.summary.is_right else 1
+    return 0 if demo.summary.all_passed else 1
 
 
-async def _until(holds: Callable[[], Awaitable[bool]]) -> None:
-    """Waits for a condition; what is still wrong afterwards shows in the summary."""
-    deadline = time.monotonic() + SETTLE_S
+async def _wait_until(holds: Callable[[], Awaitable[bool]]) -> None:
+    """Waits for a condition; returns after a timeout as well, and the summary then shows the difference."""
+    deadline = time.monotonic() + CONDITION_TIMEOUT_S
     while True:
         if await holds() or time.monotonic() > deadline:
             return
--- a/src/hyssopway_standins/endpoint.py
+++ b/src/hyssopway_standins/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint: serves requests of one service and announces itself."""
+"""Stand-in for an endpoint: serves requests of one service and renews its registration."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from aiohttp import web
 
 RENEW_S = 0.5
-# A caller of a test names the time that its request takes.
+# Header by which a test sets the service time of a request, in seconds.
 SECONDS_HEADER = "Stand-In-Seconds"
 
 
 @dataclass(slots=True, kw_only=True)
 class EndpointStandIn:
-    """One endpoint and what it saw.
+    """One endpoint, with counts of the requests that it received.
 
     Attributes:
         name: Name.
         service: Service.
-        entries: Base URLs of the entry VMs of its zone; the first that answers is its home.
-        fleet_token: Secret for announcements.
+        entries: Base URLs of the entry VMs of its zone; the first one that responds is its home.
+        fleet_token: Secret that authenticates registrations.
         vm: VM that it runs on.
         environment: Environment.
-        slots: Requests that it announces to handle at a time.
-        connections: Connections that it announces to accept.
-        service_s: Time that a request takes.
-        request_counts: Requests by idempotency key.
-        received: Requests received.
-        completed: Requests answered in whole.
-        in_progress: Requests in progress.
-        peak_in_progress: Most requests in progress at once.
-        aborted: Requests whose connection broke before their answer.
+        slots: Number of concurrent requests that it registers with.
+        connections: Number of connections that it registers with.
+        service_s: Default service time of a request.
+        request_counts: Number of requests by idempotency key.
+        received: Number of requests received.
+        completed: Number of requests with a complete response.
+        in_progress: Number of requests in progress.
+        peak_in_progress: Largest number of concurrent requests.
+        aborted: Number of requests whose connection closed before the response.
         received_at: Local time of the last request received.
-        left: Whether it left on the order of its VM.
-        leaving: Tells the entries that it left.
+        has_left: Whether it deregistered on an instruction to its VM.
+        leave_task: Deregisters the endpoint at all entry VMs.
     """
 
     name: str
@@ -60,11 +60,11 @@
     address: str = ""
     runner: web.AppRunner | None = None
     task: asyncio.Task[None] | None = None
-    left: bool = False
-    leaving: asyncio.Task[None] | None = None
+    has_left: bool = False
+    leave_task: asyncio.Task[None] | None = None
 
     async def start(self, *, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listens and begins to announce itself."""
+        """Starts the HTTP server and the registration loop."""
         app = web.Application(client_max_size=64 * 1024 * 1024)
         app.router.add_route("*", "/{path:.*}", self.handle)
         self.runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
@@ -75,8 +75,8 @@
         self.task = asyncio.create_task(self.announce_until_cancelled())
 
     async def stop(self, *, leave: bool = True) -> None:
-        """Stops; with `leave` it says so and finishes what it serves."""
-        for task in (self.task, self.leaving):
+        """Stops the endpoint; with `leave` it deregisters first and completes the requests in progress."""
+        for task in (self.task, self.leave_task):
             if task is not None:
                 task.cancel()
         if leave:
@@ -87,26 +87,26 @@
             await self.runner.cleanup()
 
     async def leave(self) -> None:
-        """Stops to announce itself and tells the entries; goes on to serve."""
+        """Deregisters at all entry VMs but continues to serve requests."""
         if self.task is not None:
             self.task.cancel()
-        timeout = aiohttp.ClientTimeout(total=1.0)  # an entry may be frozen
+        timeout = aiohttp.ClientTimeout(total=1.0)  # an entry VM may be frozen
         async with aiohttp.ClientSession(timeout=timeout) as session:
             for entry in self.entries:
                 await self._leave(session, entry)
 
-    def follow(self, *, leave: bool) -> None:
-        """Leaves or comes back on the order of its VM; a stopped endpoint does neither."""
-        if leave == self.left or self.runner is None:
+    def set_leaving(self, *, leave: bool) -> None:
+        """Deregisters or registers again on an instruction to its VM; has no effect on a stopped endpoint."""
+        if leave == self.has_left or self.runner is None:
             return
-        self.left = leave
+        self.has_left = leave
         if leave:
-            self.leaving = asyncio.create_task(self.leave())
+            self.leave_task = asyncio.create_task(self.leave())
         else:
             self.task = asyncio.create_task(self.announce_until_cancelled())
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answers with the request's body and the endpoint's name."""
+        """Echoes the body of the request and adds the name of the endpoint as a header."""
         self.received += 1
         self.received_at = time.monotonic()
         self.in_progress += 1
@@ -126,7 +126,7 @@
             self.in_progress -= 1
 
     async def announce_until_cancelled(self) -> None:
-        """Renews the lease; moves to the next entry when one does not answer."""
+        """Renews the registration and moves to the next entry VM when one does not respond."""
         position = 0
         timeout = aiohttp.ClientTimeout(total=1.0)
         async with aiohttp.ClientSession(timeout=timeout) as session:
--- a/src/hyssopway_standins/fleet.py
+++ b/src/hyssopway_standins/fleet.py
@@ -1,4 +1,4 @@
-"""Sizes of an example deployment and the VMs and endpoints that follow from them."""
+"""Sizes of an example deployment and the resulting VMs."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FleetSizes:
-    """Sizes of the stand-ins.
+    """Numbers and resources of the VMs and endpoints of a deployment.
 
     Attributes:
-        instances_per_service: Endpoints of each service.
-        workers_per_pool: VMs of each pool.
-        workers_per_rack: VMs of a pool in one rack.
-        worker: What each VM has.
+        instances_per_service: Number of endpoints of each service.
+        workers_per_pool: Number of VMs of each pool.
+        workers_per_rack: Number of VMs of a pool in one rack.
+        worker: Resources of each VM.
     """
 
     instances_per_service: int
@@ -36,14 +36,14 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class VmPlace:
-    """A VM of an example deployment.
+class VmLocation:
+    """Name and location of a VM of an example deployment.
 
     Attributes:
-        name: Name.
+        name: Name of the VM.
         zone: Availability zone.
         rack: Rack.
-        pool: Pool.
+        pool: Pool that the VM starts in.
     """
 
     name: str
@@ -59,7 +59,11 @@
 
 
 def load_example_document(deployment: str) -> EnvironmentDocument:
-    """Reads the document of an example deployment."""
+    """Reads the document of an example deployment.
+
+    Raises:
+        ValueError: The document is not valid.
+    """
     path = EXAMPLES / deployment / "document.yaml"
     match parse_document(text=path.read_text(), file=str(path)):
         case Result(tag="ok", ok=document):
@@ -68,15 +72,17 @@
             raise ValueError("; ".join(str(problem) for problem in problems))
 
 
-def place_vms(*, document: EnvironmentDocument, sizes: FleetSizes) -> list[VmPlace]:
-    """Spreads the VMs of each pool over zones and racks."""
+def place_vms(*, document: EnvironmentDocument, sizes: FleetSizes) -> list[VmLocation]:
+    """Returns the VMs of each pool, distributed over zones and racks."""
     places = []
     for pool in document.pools:
         for number in range(sizes.workers_per_pool):
             zone = document.zones[number % len(document.zones)]
             rack = f"{zone}-rack-{number // sizes.workers_per_rack + 1}"
-            places.append(VmPlace(name=f"{pool.name}-vm-{number + 1}", zone=zone, rack=rack, pool=pool.name))
+            places.append(
+                VmLocation(name=f"{pool.name}-vm-{number + 1}", zone=zone, rack=rack, pool=pool.name)
+            )
     return places
 
 
-__all__ = ["EXAMPLES", "FleetSizes", "VmPlace", "load_example_document", "load_sizes", "place_vms"]
+__all__ = ["EXAMPLES", "FleetSizes", "VmLocation", "load_example_document", "load_sizes", "place_vms"]
--- a/src/hyssopway_standins/fleet_stand_in.py
+++ b/src/hyssopway_standins/fleet_stand_in.py
@@ -1,4 +1,4 @@
-"""All endpoints and workers of an example deployment."""
+"""Stand-ins for all endpoints and workers of an example deployment."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class FleetStandIn:
-    """Endpoints and workers in one event loop.
+    """All endpoints and workers of a deployment, run in one event loop.
 
     Attributes:
         endpoints: Endpoints by name.
@@ -31,42 +31,42 @@
         fleet_stand_in = FleetStandIn()
         document = load_example_document(deployment.name)
         sizes = load_sizes(deployment.name)
-        for place in place_vms(document=document, sizes=sizes):
-            entries = deployment.entries(place.zone)
-            fleet_stand_in.workers[place.name] = WorkerStandIn(
-                vm=place.name,
-                zone=place.zone,
-                rack=place.rack,
-                pool=place.pool,
+        for location in place_vms(document=document, sizes=sizes):
+            entries = deployment.entries(location.zone)
+            fleet_stand_in.workers[location.name] = WorkerStandIn(
+                vm=location.name,
+                zone=location.zone,
+                rack=location.rack,
+                pool=location.pool,
                 capacity=sizes.worker,
                 entries=entries,
                 fleet_token=deployment.fleet_token,
                 time_scale=time_scale,
             )
             for service in document.services:
-                if service.pool == place.pool:
-                    name = f"{service.name}@{place.name}"
+                if service.pool == location.pool:
+                    name = f"{service.name}@{location.name}"
                     fleet_stand_in.endpoints[name] = EndpointStandIn(
                         name=name,
                         service=service.name,
                         entries=entries,
                         fleet_token=deployment.fleet_token,
-                        vm=place.name,
+                        vm=location.name,
                         slots=service.slots,
                         connections=service.connections,
                     )
-                    fleet_stand_in.workers[place.name].endpoints.append(fleet_stand_in.endpoints[name])
+                    fleet_stand_in.workers[location.name].endpoints.append(fleet_stand_in.endpoints[name])
         return fleet_stand_in
 
     async def start(self) -> None:
-        """Starts all of them."""
+        """Starts all workers and endpoints."""
         for worker in self.workers.values():
             worker.start()
         for endpoint in self.endpoints.values():
             await endpoint.start()
 
     async def stop(self) -> None:
-        """Stops all of them at once."""
+        """Stops all workers and endpoints without a graceful leave."""
         for worker in self.workers.values():
             worker.stop()
         for endpoint in self.endpoints.values():
--- a/src/hyssopway_standins/job_load.py
+++ b/src/hyssopway_standins/job_load.py
@@ -22,14 +22,14 @@
     accepted: list[str],
     duration_s: float,
 ) -> None:
-    """Submits eight jobs a second for a bounded time; every other one of a pool can be checkpointed.
+    """Submits eight jobs a second for a bounded time; every other job of a pool can be checkpointed.
 
     Args:
         session: HTTP session.
         url: Base URL of an entry VM.
         key: Key of a team.
-        pools: Pools that get jobs in turn.
-        accepted: Takes the ids of accepted jobs.
+        pools: Pools that the jobs are distributed over in round-robin order.
+        accepted: List that the IDs of accepted jobs are appended to.
         duration_s: Seconds after which no more jobs are submitted.
     """
     headers = {"Authorization": f"Bearer {key}"}
--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -20,7 +20,7 @@
 
 from .local_group import NAMES, WAIT_S, LocalGroup, LocalTransport, grant_key
 from .measurement import Measurement, Series
-from .spread import measure_spread
+from .propagation import measure_propagation
 from .state_memory import measure_memory
 
 if TYPE_CHECKING:
@@ -30,12 +30,17 @@
 def measure(*, seed: int, quick: bool) -> Measurement:
     """Measures the agreement."""
     measurement = Measurement(area="agreement")
-    parts: list[Callable[..., Awaitable[None]]] = [_rates, _elections, _catch_up, _spread]
+    parts: list[Callable[..., Awaitable[None]]] = [
+        _measure_rates,
+        _measure_elections,
+        _measure_catch_up,
+        _measure_propagation,
+    ]
     for part in parts:
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(_run_part(part, measurement, Path(folder), seed=seed, quick=quick))
-    measure_spread(measurement, quick=quick)
-    _restarts(measurement, quick=quick)
+    measure_propagation(measurement, quick=quick)
+    _measure_restarts(measurement, quick=quick)
     measure_memory(measurement, quick=quick)
     return measurement
 
@@ -52,7 +57,7 @@
         await group.stop()
 
 
-async def _rates(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_rates(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     points = []
     for writers in (1, 8, 64):
         count = (50 if quick else 150) * min(writers, 16)
@@ -71,7 +76,7 @@
     )
 
 
-async def _elections(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_elections(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     times = []
     for _ in range(5 if quick else 20):
         leader = group.leader()
@@ -89,7 +94,7 @@
     measurement.figures["leader lost to accepted change, trials"] = len(times)
 
 
-async def _catch_up(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_catch_up(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     points = []
     for missed in (1, 300, 1000 if quick else 10_000):
         leader = group.leader()
@@ -109,7 +114,7 @@
     )
 
 
-async def _spread(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_propagation(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     delays = []
     for _ in range(50 if quick else 300):
         started = time.monotonic()
@@ -127,11 +132,11 @@
     measurement.figures["change applied on all 5 members, max ms"] = max(delays)
 
 
-def _restarts(measurement: Measurement, *, quick: bool) -> None:
+def _measure_restarts(measurement: Measurement, *, quick: bool) -> None:
     for changes in (2000, 20_000) if quick else (10_000, 200_000):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder)
-            asyncio.run(_fill_alone(path, changes=changes))
+            asyncio.run(_write_single_member_log(path, changes=changes))
             size = sum(file.stat().st_size for file in path.rglob("*") if file.is_file())
             started = time.monotonic()
             replica = Replica()
@@ -142,7 +147,7 @@
             member.store.close()
 
 
-async def _fill_alone(folder: Path, *, changes: int) -> None:
+async def _write_single_member_log(folder: Path, *, changes: int) -> None:
     replica = Replica()
     member = Member(daemon="a", store=Store(folder=folder), state_machine=replica, clock=time.monotonic)
     member.open(initial=Configuration(voters=("a/0",)))
--- a/src/hyssopway_standins/measure/capacity.py
+++ b/src/hyssopway_standins/measure/capacity.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Capacity:
+class CapacityEstimate:
     """Figures at the target, worked out from slopes.
 
     Attributes:
@@ -49,10 +49,10 @@
     log_limit: float
     worker_core: float
     worker_bytes: float
-    rack_vms: float
+    maintained_vms_per_h: float
 
 
-def work_out(figures: dict[str, dict[str, float]], *, target: Target) -> Capacity:
+def estimate_capacity(figures: dict[str, dict[str, float]], *, target: Target) -> CapacityEstimate:
     """Works out the figures at the target."""
     nodes, agreement = figures["nodes"], figures["agreement"]
     entry_workers = target.region_workers / target.region_vms
@@ -61,7 +61,7 @@
     keys_kb = 2 * target.teams * agreement["memory per key KB"]
     state_mb = (jobs_kb + vms_kb + keys_kb) / 1024
     sessions_mb = entry_workers * nodes["daemon_rss_kb_per_worker"] / 1024
-    return Capacity(
+    return CapacityEstimate(
         figures=figures,
         target=target,
         entry_workers=entry_workers,
@@ -72,7 +72,7 @@
         log_limit=agreement["changes at 8 writers per s"],
         worker_core=nodes["worker_cpu"],
         worker_bytes=nodes["worker_bytes_per_second"],
-        rack_vms=target.workers / target.maintenance_period_s * 3600,
+        maintained_vms_per_h=target.workers / target.maintenance_period_s * 3600,
     )
 
 
@@ -91,7 +91,7 @@
     if missing:
         print(f"areas {sorted(missing)} are missing; run `make measure`", file=sys.stderr)
         return 1
-    capacity = work_out(figures, target=Target())
+    capacity = estimate_capacity(figures, target=Target())
     options.page.write_text(render_page(capacity, origin=results["origin"]))
     print(f"wrote {options.page}")
     return 0
@@ -100,4 +100,4 @@
 if __name__ == "__main__":
     sys.exit(main())
 
-__all__ = ["Capacity", "work_out"]
+__all__ = ["CapacityEstimate", "estimate_capacity"]
--- a/src/hyssopway_standins/measure/capacity_page.py
+++ b/src/hyssopway_standins/measure/capacity_page.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from .capacity import Capacity
+    from .capacity import CapacityEstimate
 
 
-def render_page(capacity: Capacity, *, origin: dict[str, Any]) -> str:
+def render_page(capacity: CapacityEstimate, *, origin: dict[str, Any]) -> str:
     """Returns the page."""
     parts = [
         _head(capacity, origin=origin),
@@ -20,7 +20,7 @@
     return "\n\n".join(parts) + "\n"
 
 
-def _head(capacity: Capacity, *, origin: dict[str, Any]) -> str:
+def _head(capacity: CapacityEstimate, *, origin: dict[str, Any]) -> str:
     target = capacity.target
     return f"""# Capacity at the target
 
@@ -30,7 +30,7 @@
 The target: {target.workers:,} workers with {target.accelerators:,} accelerators, {target.pools} pools with every
 VM maintained once in 7 weeks, {target.teams} teams with urgent work started within {target.urgent_start_s} s,
 {target.regions} regions with {target.zones} zones, {target.changes_a_day:,} changes of configuration a day in force
-within {target.in_force_s:.0f} s, at most {target.node_core:.1%} of a core, {target.node_memory_mb:.0f} MB and
+within {target.activation_s:.0f} s, at most {target.node_core:.1%} of a core, {target.node_memory_mb:.0f} MB and
 {target.node_bytes_a_second / 1000:.0f} KB/s a node and {target.control_vms} VMs set aside,
 {target.failures_a_day} VMs failing and {target.restarts_a_day:,} restarted or replaced on an ordinary day, a rack or
 switch a week, a zone a few times a year, regions apart for an hour.
@@ -40,7 +40,7 @@
 the mean, one at a time on each worker."""
 
 
-def _verdicts(capacity: Capacity) -> str:
+def _verdicts(capacity: CapacityEstimate) -> str:
     target, jobs, fleet = capacity.target, capacity.figures["jobs"], capacity.figures["fleet"]
     urgent = jobs["urgent_start_on_full_pool_worst_s"]
     spread = capacity.figures["agreement"]["change in force on 60 followers, max ms"] / 1000
@@ -51,7 +51,7 @@
         _verdict("memory of an entry VM", capacity.entry_memory_mb, target.node_memory_mb, "MB"),
         _verdict("log entries of the largest region", capacity.log_entries, capacity.log_limit, "entries/s"),
         _verdict("urgent work on a full pool, worst", urgent, target.urgent_start_s, "s"),
-        _verdict("change in force on 60 followers, worst", spread, target.in_force_s, "s"),
+        _verdict("change in force on 60 followers, worst", spread, target.activation_s, "s"),
     ]
     decisions = jobs["decisions_21000_workers_scheduler_per_s"]
     rounds = fleet.get("wave_rounds_21000_vms_per_s", 0.0)
@@ -63,7 +63,7 @@
         *rows,
         "",
         f"Placement makes {decisions:,.0f} decisions a second at 21,000 workers in one region; the largest region",
-        f"needs {target.region_workers / target.run_s:.1f}. A wave must maintain {capacity.rack_vms:.0f} VMs an hour",
+        f"needs {target.region_workers / target.run_s:.1f}. A wave must maintain {capacity.maintained_vms_per_h:.0f} VMs an hour",
         f"in all regions; the leader makes {rounds:.1f} rounds a second with 21,000 VMs. The first look of a new leader",
         f"takes {jobs['first_look_21000_workers_ms']:.0f} ms at 21,000 workers and",
         f"{jobs['first_look_1000_workers_ms']:.0f} ms at 1,000, against an election timeout of 600 ms.",
@@ -79,7 +79,7 @@
     return f"| {name} | {value:.3g} {unit} | {bound:.4g} {unit} | {verdict} |"
 
 
-def _roles(capacity: Capacity) -> str:
+def _roles(capacity: CapacityEstimate) -> str:
     target, nodes = capacity.target, capacity.figures["nodes"]
     changes = target.changes_a_second
     return f"""## Roles
@@ -96,7 +96,7 @@
 | command line | none | one request a command | not measured | not measured | a process for each command | not reached |"""
 
 
-def _slopes(capacity: Capacity) -> str:
+def _slopes(capacity: CapacityEstimate) -> str:
     nodes, agreement, jobs = (capacity.figures[area] for area in ("nodes", "agreement", "jobs"))
     rows = [
         ("processor of all daemons for a worker", nodes["cpu_per_worker"], "core", nodes["cpu_fit_error"]),
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -50,13 +50,13 @@
 TASKS_A_WORKFLOW = 8
 CORES_A_TASK = 8
 # Share of the fleet's cores that runs before a round is measured.
-HALF_FULL = 0.5
+BUSY_SHARE = 0.5
 # Starts of the round that is measured.
 ROUND_STARTS = 200
 REPEATS = 5
 
 
-class MemoryTerm:
+class InMemoryLeadership:
     """A term whose commands apply at once."""
 
     def __init__(self) -> None:
@@ -83,16 +83,16 @@
     """VMs that accept every order and list what runs."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[ListedRun]] = {}
+        self.listed_runs: dict[str, list[ListedRun]] = {}
 
     async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
         """Lists the runs of a VM."""
-        running = tuple(self.rows.get(vm.vm_id, ()))
+        running = tuple(self.listed_runs.get(vm.vm_id, ()))
         return PollReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_complete=True)
 
     async def start(self, *, vm: VmRecord, task: str, run: int, **_: Any) -> OrderReply:
         """Starts a run."""
-        self.rows.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
+        self.listed_runs.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
         return OrderReply()
 
 
@@ -136,37 +136,37 @@
 
 
 async def _measure_size(vms: int) -> Cost:
-    term, calls = MemoryTerm(), AcceptingVms()
-    await _register(term, vms=vms)
+    leadership, calls = InMemoryLeadership(), AcceptingVms()
+    await _register_vms(leadership, vms=vms)
     links: dict[str, VmLink] = {}
-    dispatcher = Dispatcher(leadership=term, links=links)  # type: ignore[arg-type]
-    for vm_id in term.state.tables.vms:
-        links[vm_id] = _link(vm_id, term=term, calls=calls, dispatcher=dispatcher)
+    dispatcher = Dispatcher(leadership=leadership, links=links)  # type: ignore[arg-type]
+    for vm_id in leadership.state.tables.vms:
+        links[vm_id] = _create_link(vm_id, leadership=leadership, calls=calls, dispatcher=dispatcher)
         await links[vm_id].poll()
-    running = round(vms * CORES_A_VM * HALF_FULL / CORES_A_TASK)
-    await _submit(term, tasks=running, name="run")
-    await _round(dispatcher)
+    running = round(vms * CORES_A_VM * BUSY_SHARE / CORES_A_TASK)
+    await _submit_workflows(leadership, tasks=running, name="run")
+    await _run_round(dispatcher)
     while sum(dispatcher.waiting_millis.values()):
-        await _round(dispatcher)
+        await _run_round(dispatcher)
     for link in links.values():
         await link.poll()
-    empty_round_ms = await _time(lambda: _round(dispatcher))
+    empty_round_ms = await _time(lambda: _run_round(dispatcher))
     first = next(iter(links.values()))
     look_ms = await _time(first.poll)
     forecast = DemandForecast(ahead_s=2.0, scale=lambda _: 1.0)
 
     async def measure_all() -> None:
-        tables, indexes = term.state.tables, term.state.indexes
+        tables, indexes = leadership.state.tables, leadership.state.indexes
         measure_pools(tables=tables, waiting_millis={})
         forecast.update(tables=tables, indexes=indexes, now_ms=0)
 
     pools_ms = await _time(measure_all)
-    await _submit(term, tasks=ROUND_STARTS, name="new")
-    running = len(term.state.tables.runs)
+    await _submit_workflows(leadership, tasks=ROUND_STARTS, name="new")
+    running = len(leadership.state.tables.runs)
     before = time.process_time()
-    await _round(dispatcher)
+    await _run_round(dispatcher)
     # A small fleet has no room for all of them.
-    start_ms = (time.process_time() - before) * 1000 / (len(term.state.tables.runs) - running)
+    start_ms = (time.process_time() - before) * 1000 / (len(leadership.state.tables.runs) - running)
     return Cost(
         vms=vms,
         start_ms=start_ms,
@@ -186,14 +186,14 @@
     return min(times)
 
 
-async def _round(dispatcher: Dispatcher) -> None:
+async def _run_round(dispatcher: Dispatcher) -> None:
     await dispatcher.run_round()
     while dispatcher.sending:
         await asyncio.gather(*dispatcher.sending)
         await asyncio.sleep(0)
 
 
-async def _register(term: MemoryTerm, *, vms: int) -> None:
+async def _register_vms(leadership: InMemoryLeadership, *, vms: int) -> None:
     pools = [f"pool-{number}" for number in range(POOLS)]
     queues = tuple(
         Queue(name=f"queue-{pool}", host="a.example", path_prefix=f"/{pool}/", pool=pool) for pool in pools
@@ -206,10 +206,10 @@
         max_body_bytes=1,
         source="",
     )
-    await term.propose(PutDocument(document=document))
+    await leadership.propose(PutDocument(document=document))
     capacity = Capacity(cpu_millis=CORES_A_VM * 1000, memory_mb=128_000)
     for number in range(vms):
-        await term.propose(
+        await leadership.propose(
             RegisterVm(
                 vm=f"vm-{number}",
                 boot=1,
@@ -224,11 +224,11 @@
         )
 
 
-async def _submit(term: MemoryTerm, *, tasks: int, name: str) -> None:
+async def _submit_workflows(leadership: InMemoryLeadership, *, tasks: int, name: str) -> None:
     step = Step(count=TASKS_A_WORKFLOW, cpu_millis=CORES_A_TASK * 1000, memory_mb=500, estimate_ms=1000)
     spec = WorkflowSpec(specification="", steps=(step,))
     for number in range(tasks // TASKS_A_WORKFLOW):
-        await term.propose(
+        await leadership.propose(
             AcceptWorkflow(
                 workflow_id=f"{name}{number}",
                 queue=f"queue-pool-{number % POOLS}",
@@ -239,7 +239,9 @@
         )
 
 
-def _link(vm_id: str, *, term: MemoryTerm, calls: AcceptingVms, dispatcher: Dispatcher) -> VmLink:
+def _create_link(
+    vm_id: str, *, leadership: InMemoryLeadership, calls: AcceptingVms, dispatcher: Dispatcher
+) -> VmLink:
     limits = PlatformLimits(
         longest_lease_s=10.0,
         stop_s=0.4,
@@ -252,7 +254,7 @@
     )
     return VmLink(
         vm_id=vm_id,
-        leadership=term,  # type: ignore[arg-type]
+        leadership=leadership,  # type: ignore[arg-type]
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
         scale=DurationScale(),
--- a/src/hyssopway_standins/measure/first_fit.py
+++ b/src/hyssopway_standins/measure/first_fit.py
@@ -8,13 +8,13 @@
 from hyssopway.control.record import VmState
 from hyssopway.document import Resources
 
-from .job_world import JobWorld
+from .job_simulation import JobSimulation
 
 MAX_STARTS = 250
 
 
 @dataclass(slots=True, kw_only=True)
-class FirstFit:
+class FirstFitScheduler:
     """Starts the oldest job on the first VM with room; knows no shares, estimates or quarantine.
 
     Attributes:
@@ -22,18 +22,18 @@
         used: What runs on each VM; recomputed in each round.
     """
 
-    world: JobWorld
+    simulation: JobSimulation
     used: dict[str, Resources] = field(default_factory=dict)
 
     async def schedule_once(self) -> None:
         """Proposes the starts of one round."""
-        self.count()
+        self.count_usage()
         for start in self.plan():
-            await self.world.submit(start)
+            await self.simulation.submit(start)
 
-    def count(self) -> None:
+    def count_usage(self) -> None:
         """Computes what runs on each VM."""
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         self.used = {}
         for vm, job_ids in state.indexes.running.items():
             for job_id in job_ids:
@@ -41,10 +41,10 @@
 
     def plan(self) -> list[StartRun]:
         """Returns the starts of one round; a job that fits nowhere holds up those behind it."""
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         starts: list[StartRun] = []
         for job in state.indexes.pending.values():
-            if job.not_before_ms > self.world.now_ms():
+            if job.not_before_ms > self.simulation.now_ms():
                 continue
             need = job.spec.resources
             for vm in state.tables.vms.values():
@@ -62,4 +62,4 @@
         return starts
 
 
-__all__ = ["FirstFit"]
+__all__ = ["FirstFitScheduler"]
--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -99,7 +99,7 @@
             if wave.status is WaveStatus.PAUSED:
                 pauses += 1
                 driver.state_machine.apply(_resume(wave))
-            _inject(driver, failing=failing, number=number)
+            _inject_faults(driver, failing=failing, number=number)
             driver.run_round()
         wave = driver.state_machine.state.tables.waves[wave_id]
         prefix = f"{deployment}_{name}"
@@ -123,7 +123,7 @@
     )
 
 
-def _inject(driver: WaveDriver, *, failing: list[str], number: int) -> None:
+def _inject_faults(driver: WaveDriver, *, failing: list[str], number: int) -> None:
     """Injects a failure, a quarantine, a VM that does not return, a new leader and an older one."""
     down, quarantined, lost = failing
     match number:
--- a/src/hyssopway_standins/measure/job_world.py
+++ b/src/hyssopway_standins/measure/job_simulation.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class JobWorld:
+class JobSimulation:
     """Agreed state, workers that end tasks, and a scheduler.
 
     Attributes:
@@ -156,4 +156,4 @@
             self.outcomes.append((vm, outcome))
 
 
-__all__ = ["CAPACITY", "STEP_S", "JobWorld"]
+__all__ = ["CAPACITY", "STEP_S", "JobSimulation"]
--- a/src/hyssopway_standins/measure/jobs.py
+++ b/src/hyssopway_standins/measure/jobs.py
@@ -28,8 +28,8 @@
 from hyssopway_standins.operator_client import OperatorClient
 from hyssopway_standins.processes import Deployment
 
-from .first_fit import FirstFit
-from .job_world import CAPACITY, STEP_S, JobWorld
+from .first_fit import FirstFitScheduler
+from .job_simulation import CAPACITY, STEP_S, JobSimulation
 from .measurement import Measurement, Series
 
 if TYPE_CHECKING:
@@ -59,17 +59,19 @@
 
 async def _measure_shares(measurement: Measurement, *, seed: int) -> None:
     for name in ("scheduler", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=_random_times(seed, 2, 6))
-        world.prepare(vms=32)
-        rounds: JobScheduler | FirstFit = world.scheduler() if name == "scheduler" else FirstFit(world=world)
+        simulation = JobSimulation(weights=WEIGHTS, run_s=_random_times(seed, 2, 6))
+        simulation.prepare(vms=32)
+        rounds: JobScheduler | FirstFitScheduler = (
+            simulation.scheduler() if name == "scheduler" else FirstFitScheduler(simulation=simulation)
+        )
         points = []
         for step in range(round(30 / STEP_S)):
             # Team four begins when the others have filled the fleet.
-            asking = [team for team in WEIGHTS if team != "four" or world.now >= 8]
-            _keep_asking(world, teams=asking, step=step)
+            asking = [team for team in WEIGHTS if team != "four" or simulation.now >= 8]
+            _keep_jobs_pending(simulation, teams=asking, step=step)
             await rounds.schedule_once()
-            world.step()
-            points.append((world.now, _distance(world)))
+            simulation.step()
+            points.append((simulation.now, _share_distance(simulation)))
         late = [distance for at, distance in points if 10 <= at <= 30]
         late_four = [distance for at, distance in points if at >= 18]
         measurement.figures[f"share_distance_mean_after_10_s_{name}_%"] = 100 * sum(late) / len(late)
@@ -87,19 +89,19 @@
     return lambda _: rng.uniform(least, most)
 
 
-def _keep_asking(world: JobWorld, *, teams: list[str], step: int) -> None:
+def _keep_jobs_pending(simulation: JobSimulation, *, teams: list[str], step: int) -> None:
     """Keeps 64 jobs of each team waiting, which is a quarter of the fleet."""
     waiting = dict.fromkeys(teams, 0)
-    for job in world.replica.state.indexes.pending.values():
+    for job in simulation.replica.state.indexes.pending.values():
         waiting[job.team] = waiting.get(job.team, 0) + 1
     for team in teams:
         for number in range(64 - waiting[team]):
-            world.accept(f"{team}-{step}-{number}", team=team, need=EIGHT_CORES)
+            simulation.accept(f"{team}-{step}-{number}", team=team, need=EIGHT_CORES)
 
 
-def _distance(world: JobWorld) -> float:
+def _share_distance(simulation: JobSimulation) -> float:
     """Returns half the sum of the differences between held and fair parts."""
-    state = world.replica.state
+    state = simulation.replica.state
     vms = len(state.tables.vms)
     total = Resources(cores=CAPACITY.cores * vms, memory_gb=CAPACITY.memory_gb * vms)
     held = {team: usage.resources.dominant_share(total) for team, usage in state.indexes.usage.items()}
@@ -113,26 +115,26 @@
 def _measure_decisions(measurement: Measurement, *, sizes: tuple[int, ...]) -> None:
     costs: dict[str, list[float]] = {"scheduler": [], "baseline": []}
     for size in sizes:
-        world = JobWorld(weights=WEIGHTS, run_s=lambda _: 1e9)
-        world.prepare(vms=size)
+        simulation = JobSimulation(weights=WEIGHTS, run_s=lambda _: 1e9)
+        simulation.prepare(vms=size)
         # The last tenth of the VMs is empty and the rest is full.
         for number in range(size * 9 // 10):
-            world.accept(f"full-{number}", team="one", need=CAPACITY)
+            simulation.accept(f"full-{number}", team="one", need=CAPACITY)
             start = StartRun(job_id=f"full-{number}", epoch=1, vm=f"vm{number:05}", vm_epoch=1, reason="fill")
-            world.apply(start)
+            simulation.apply(start)
         for number in range(1_000):
             team = list(WEIGHTS)[number % 4]
-            world.accept(f"new-{number}", team=team, task_kind=f"k{number % 20}", need=TINY)
-        first_fit = FirstFit(world=world)
-        first_fit.count()
+            simulation.accept(f"new-{number}", team=team, task_kind=f"k{number % 20}", need=TINY)
+        first_fit = FirstFitScheduler(simulation=simulation)
+        first_fit.count_usage()
         costs["baseline"].append(_time_decisions(first_fit.plan, rounds=1))
-        planner = world.scheduler().planner
+        planner = simulation.scheduler().planner
         # A new leader looks at everything once and builds the trees; decisions are timed after that.
         started = time.perf_counter()
-        planner.refresh(state=world.replica.state, now_ms=0)
+        planner.refresh(state=simulation.replica.state, now_ms=0)
         planner.view.find(pool="p", need=TINY)
-        first_look_s = time.perf_counter() - started
-        measurement.figures[f"first_look_{size}_workers_ms"] = 1000 * first_look_s
+        first_refresh_s = time.perf_counter() - started
+        measurement.figures[f"first_look_{size}_workers_ms"] = 1000 * first_refresh_s
         costs["scheduler"].append(_time_decisions(planner.plan, rounds=4))
     for name, values in costs.items():
         for size, cost in zip(sizes, values, strict=True):
@@ -154,21 +156,28 @@
 
 async def _measure_bad_worker(measurement: Measurement, *, seed: int) -> None:
     for name in ("scheduler", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=_random_times(seed, 1, 3), fails=lambda vm: vm == "vm00000")
-        world.prepare(vms=16)
-        rounds: JobScheduler | FirstFit = world.scheduler() if name == "scheduler" else FirstFit(world=world)
+        simulation = JobSimulation(
+            weights=WEIGHTS, run_s=_random_times(seed, 1, 3), fails=lambda vm: vm == "vm00000"
+        )
+        simulation.prepare(vms=16)
+        rounds: JobScheduler | FirstFitScheduler = (
+            simulation.scheduler() if name == "scheduler" else FirstFitScheduler(simulation=simulation)
+        )
         quarantined_at = 0.0
         for step in range(round(30 / STEP_S)):
             if step % 2 == 0:
                 for number in range(4):
                     team = list(WEIGHTS)[number]
-                    world.accept(f"{team}-{step}", team=team, task_kind=f"k{step % 3}", need=EIGHT_CORES)
+                    simulation.accept(f"{team}-{step}", team=team, task_kind=f"k{step % 3}", need=EIGHT_CORES)
             await rounds.schedule_once()
-            world.step()
-            if not quarantined_at and world.replica.state.tables.vms["vm00000"].state is VmState.QUARANTINED:
-                quarantined_at = world.now
-        failed_runs = sum(outcome is RunOutcome.FAILED for _, outcome in world.outcomes)
-        jobs = world.replica.state.tables.jobs.values()
+            simulation.step()
+            if (
+                not quarantined_at
+                and simulation.replica.state.tables.vms["vm00000"].state is VmState.QUARANTINED
+            ):
+                quarantined_at = simulation.now
+        failed_runs = sum(outcome is RunOutcome.FAILED for _, outcome in simulation.outcomes)
+        jobs = simulation.replica.state.tables.jobs.values()
         measurement.figures[f"bad_worker_failed_runs_in_30_s_{name}_runs"] = failed_runs
         measurement.figures[f"bad_worker_lost_jobs_in_30_s_{name}_jobs"] = sum(
             job.status == "failed" for job in jobs
@@ -179,20 +188,20 @@
 
 def _measure_cancellations(measurement: Measurement, *, count: int) -> None:
     for name in ("batch", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=lambda _: 1e9)
-        world.prepare(vms=16)
+        simulation = JobSimulation(weights=WEIGHTS, run_s=lambda _: 1e9)
+        simulation.prepare(vms=16)
         ids = [f"j{number}" for number in range(count)]
         for job_id in ids:
-            world.accept(job_id, team="one", need=EIGHT_CORES)
+            simulation.accept(job_id, team="one", need=EIGHT_CORES)
         # Records of the measurements before are not collected on the account of this one.
         gc.collect()
         started = time.perf_counter()
         if name == "batch":
             for at in range(0, count, 1_000):
-                world.apply(CancelJobs(job_ids=ids[at : at + 1_000], team="one"))
+                simulation.apply(CancelJobs(job_ids=ids[at : at + 1_000], team="one"))
         else:
             for job_id in ids:
-                world.apply(CancelJob(job_id=job_id, team="one"))
+                simulation.apply(CancelJob(job_id=job_id, team="one"))
         measurement.figures[f"cancellations_applied_{name}_per_s"] = count / (time.perf_counter() - started)
 
 
@@ -227,7 +236,7 @@
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
         await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
         key = await operator.grant_key("granite-hearth")
-        entries = [TeamJobs(session=session, url=url, key=key) for url in urls]
+        entries = [TeamClient(session=session, url=url, key=key) for url in urls]
         await _wait_for(lambda: all(worker.lease_expires_at for worker in workers))
         accepted: dict[str, float] = {}
         # 20 jobs a second of 0.5 s each hold about ten cores.
@@ -252,7 +261,7 @@
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
         key = await operator.grant_key("monadnock-freezers")
-        entries = [TeamJobs(session=session, url=url, key=key) for url in urls]
+        entries = [TeamClient(session=session, url=url, key=key) for url in urls]
         slots = asyncio.Semaphore(64)
 
         async def submit(number: int) -> str:
@@ -277,7 +286,7 @@
     url = deployment.daemons["nashua-1"].url
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
-        teams = TeamJobs(session=session, url=url, key=await operator.grant_key("granite-hearth"))
+        teams = TeamClient(session=session, url=url, key=await operator.grant_key("granite-hearth"))
         workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "restock"]
         # Tasks of 60,000 s are cut to 600 s by the time scale; they outlast the measurement.
         for _ in workers:
@@ -287,12 +296,12 @@
         for _ in range(count):
             started = time.monotonic()
             job_id = await teams.submit(cores=64, urgent=True)
-            await _wait_for(partial(_runs, workers, job_id))
+            await _wait_for(partial(_is_running, workers, job_id))
             waits.append(time.monotonic() - started)
         return waits
 
 
-class TeamJobs:
+class TeamClient:
     """Submits jobs of one team.
 
     Attributes:
@@ -336,7 +345,7 @@
             answer.raise_for_status()
 
 
-def _runs(workers: list[WorkerStandIn], job_id: str) -> bool:
+def _is_running(workers: list[WorkerStandIn], job_id: str) -> bool:
     return any(job_id in worker.tasks for worker in workers)
 
 
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -36,12 +36,12 @@
 class GroupNode:
     """One member with its tasks."""
 
-    __slots__ = ("member", "parts", "replica", "tasks")
+    __slots__ = ("assembler", "member", "replica", "tasks")
 
     def __init__(self, *, member: Member, replica: Replica) -> None:
         self.member = member
         self.replica = replica
-        self.parts = SnapshotAssembler()
+        self.assembler = SnapshotAssembler()
         self.tasks: list[asyncio.Task[None]] = []
 
 
@@ -70,7 +70,7 @@
         return await self._deliver(
             daemon,
             timeout_s,
-            lambda node: answer_snapshot(member=node.member, assembler=node.parts, chunk=chunk),
+            lambda node: answer_snapshot(member=node.member, assembler=node.assembler, chunk=chunk),
         )
 
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[GroupNode], Any]) -> Any:
@@ -101,13 +101,13 @@
             member = Member(daemon=name, store=store, state_machine=replica, clock=time.monotonic)
             member.open(initial=initial)
             node = self.nodes[name] = GroupNode(member=member, replica=replica)
-            wire = LocalTransport(nodes=self.nodes)
+            transport = LocalTransport(nodes=self.nodes)
             rng = random.Random(self.rng.random())
             node.tasks = [
                 asyncio.create_task(member.sync_own_log()),
                 asyncio.create_task(member.apply_committed()),
-                asyncio.create_task(run_elections(member=member, transport=wire, rng=rng)),
-                asyncio.create_task(run_replication(member=member, transport=wire)),
+                asyncio.create_task(run_elections(member=member, transport=transport, rng=rng)),
+                asyncio.create_task(run_replication(member=member, transport=transport)),
             ]
 
     async def stop(self, *names: str) -> None:
--- a/src/hyssopway_standins/measure/nodes.py
+++ b/src/hyssopway_standins/measure/nodes.py
@@ -29,7 +29,7 @@
 QUICK_SIZES = (20, 40, 60)
 SETTLE_S = 4.0
 WINDOW_S = 8.0
-SYNC_S = 0.5
+SYNC_INTERVAL_S = 0.5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -126,7 +126,7 @@
         capacity=Resources(cores=64, memory_gb=128, accelerators=2),
         entries=entries[number % len(entries) :] + entries[: number % len(entries)],
         fleet_token=deployment.fleet_token,
-        sync_s=SYNC_S,
+        sync_s=SYNC_INTERVAL_S,
     )
     worker.start()
     return worker
@@ -151,7 +151,7 @@
 
 async def _bytes_per_sync(deployment: Deployment, *, worker: WorkerStandIn) -> tuple[int, int]:
     """Counts the bytes of one sync of a busy worker on the wire, without TCP and IP headers."""
-    body = to_json(worker.make_report())
+    body = to_json(worker.build_sync_request())
     url = worker.entries[0]
     host, port = url.removeprefix("http://").split(":")
     head = (
--- a/src/hyssopway_standins/measure/spread.py
+++ b/src/hyssopway_standins/measure/propagation.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Plan:
+class FollowerPlan:
     """What one process of followers does.
 
     Attributes:
@@ -55,7 +55,7 @@
     idle_from: float
 
 
-def measure_spread(measurement: Measurement, *, quick: bool) -> None:
+def measure_propagation(measurement: Measurement, *, quick: bool) -> None:
     """Adds the spread over six daemon processes and 60 followers, and the idle cost of a follower."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name="pantry", folder=Path(folder))
@@ -78,12 +78,14 @@
             ("all 6 daemon processes", daemons),
             (f"{FOLLOWERS} followers", [daemons[number % len(daemons)] for number in range(FOLLOWERS)]),
         ):
-            delays = await _spread(operator, path=direct.settings_path, upstreams=upstreams, changes=changes)
+            delays = await _measure_propagation(
+                operator, path=direct.settings_path, upstreams=upstreams, changes=changes
+            )
             cuts = statistics.quantiles(delays, n=100, method="inclusive")
             measurement.figures[f"change in force on {name}, p50 ms"] = cuts[49]
             measurement.figures[f"change in force on {name}, p99 ms"] = cuts[98]
             measurement.figures[f"change in force on {name}, max ms"] = max(delays)
-    await _idle(measurement, direct, upstreams=upstreams, window_s=8.0)
+    await _measure_idle_cost(measurement, direct, upstreams=upstreams, window_s=8.0)
 
 
 def _follower_settings(deployment: Deployment) -> DaemonProcess:
@@ -99,11 +101,13 @@
     return DaemonProcess(name=FOLLOWER, settings_path=path, settings=settings, log_path=path)
 
 
-async def _spread(operator: OperatorClient, *, path: Path, upstreams: list[str], changes: int) -> list[float]:
+async def _measure_propagation(
+    operator: OperatorClient, *, path: Path, upstreams: list[str], changes: int
+) -> list[float]:
     start = time.monotonic() + SETTLE_S
     # Bounds the processes also when the changes are slow.
     until = start + changes * (PAUSE_S + 0.05) + 1.0
-    running = asyncio.gather(*_start(path=path, upstreams=upstreams, until=until, idle_from=start))
+    running = asyncio.gather(*_start_followers(path=path, upstreams=upstreams, until=until, idle_from=start))
     await asyncio.sleep(start - time.monotonic())
     sent: list[tuple[float, int]] = []
     for number in range(changes):
@@ -112,14 +116,14 @@
         sent.append((sent_at, int((await operator.post("/v1/keys", body))["index"])))
         await asyncio.sleep(PAUSE_S)
     followers = [seen for result in await running for seen in result["seen"]]
-    return [(max(_reached(seen, index) for seen in followers) - at) * 1000 for at, index in sent]
+    return [(max(_find_applied_at(seen, index) for seen in followers) - at) * 1000 for at, index in sent]
 
 
-def _reached(seen: list[tuple[float, int]], index: int) -> float:
+def _find_applied_at(seen: list[tuple[float, int]], index: int) -> float:
     return next(at for at, applied in seen if applied >= index)
 
 
-async def _idle(
+async def _measure_idle_cost(
     measurement: Measurement, direct: DaemonProcess, *, upstreams: list[str], window_s: float
 ) -> None:
     network = Network()
@@ -128,7 +132,7 @@
     start = time.monotonic() + SETTLE_S
     until = start + window_s
     running = asyncio.gather(
-        *_start(path=direct.settings_path, upstreams=upstreams, until=until, idle_from=start)
+        *_start_followers(path=direct.settings_path, upstreams=upstreams, until=until, idle_from=start)
     )
     await asyncio.sleep(start - time.monotonic())
     before = network.forwarded
@@ -141,13 +145,15 @@
     measurement.figures["idle processor ms per s and follower"] = cpu * 1000 / len(upstreams)
 
 
-def _start(
+def _start_followers(
     *, path: Path, upstreams: list[str], until: float, idle_from: float
 ) -> list[asyncio.Future[dict[str, Any]]]:
     loop = asyncio.get_running_loop()
     pool = ProcessPoolExecutor(max_workers=PROCESSES, mp_context=get_context("spawn"))
     plans = [
-        Plan(settings_path=path, upstreams=upstreams[part::PROCESSES], until=until, idle_from=idle_from)
+        FollowerPlan(
+            settings_path=path, upstreams=upstreams[part::PROCESSES], until=until, idle_from=idle_from
+        )
         for part in range(PROCESSES)
     ]
     started = [loop.run_in_executor(pool, run_followers, plan) for plan in plans]
@@ -155,14 +161,14 @@
     return started
 
 
-def run_followers(plan: Plan) -> dict[str, Any]:
+def run_followers(plan: FollowerPlan) -> dict[str, Any]:
     """Runs followers in this process; returns what each had applied when, and the processor time."""
     set_up_logging(level="WARNING", json_output=False)
     result: dict[str, Any] = asyncio.run(capnp.run(_follow_all(plan)))
     return result
 
 
-async def _follow_all(plan: Plan) -> dict[str, Any]:
+async def _follow_all(plan: FollowerPlan) -> dict[str, Any]:
     match load_settings(plan.settings_path):
         case Result(tag="ok", ok=settings):
             pass
@@ -177,7 +183,7 @@
         directories.append(peers)
         freshness = Freshness(clock=time.monotonic)
         following = follow_upstream(replica=replica, freshness=freshness, peers=peers, upstreams=[upstream])
-        tasks += [asyncio.create_task(following), asyncio.create_task(_record(replica, record))]
+        tasks += [asyncio.create_task(following), asyncio.create_task(_record_applied(replica, record))]
     await asyncio.sleep(max(0.0, plan.idle_from - time.monotonic()))
     before = time.process_time()
     await asyncio.sleep(max(0.0, plan.until - time.monotonic()))
@@ -190,10 +196,10 @@
     return {"seen": seen, "cpu_s": cpu_s}
 
 
-async def _record(replica: Replica, seen: list[tuple[float, int]]) -> None:
+async def _record_applied(replica: Replica, seen: list[tuple[float, int]]) -> None:
     while True:
         if await replica.wait_beyond(replica.applied_index, timeout_s=60.0):
             seen.append((time.monotonic(), replica.applied_index))
 
 
-__all__ = ["measure_spread", "run_followers"]
+__all__ = ["measure_propagation", "run_followers"]
--- a/src/hyssopway_standins/measure/requests.py
+++ b/src/hyssopway_standins/measure/requests.py
@@ -16,7 +16,7 @@
 from hyssopway_standins.processes import Deployment
 
 from .measurement import Measurement, Series
-from .requests_servers import Helper, run_client, serve_endpoints, serve_plain_proxy
+from .requests_servers import HelperProcess, run_client, serve_endpoints, serve_plain_proxy
 
 ENDPOINTS = 4
 SLOTS = 8
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class Burst:
+class BurstResult:
     """What callers saw of a burst.
 
     Attributes:
@@ -80,11 +80,11 @@
 ) -> None:
     entry = deployment.entries("Nashua")[0]
     helpers = [
-        Helper(serve_endpoints, [_endpoint(deployment, service=service, name=service, service_s=0.0)])
+        HelperProcess(serve_endpoints, [_endpoint(deployment, service=service, name=service, service_s=0.0)])
         for service in ("pickup-schedule", "van-dispatch")
     ]
     addresses = [helper.receive()[0] for helper in helpers]
-    helpers.append(Helper(serve_plain_proxy, addresses[:1]))
+    helpers.append(HelperProcess(serve_plain_proxy, addresses[:1]))
     proxy = helpers[-1].receive()
     await asyncio.sleep(SETTLE_S)
     try:
@@ -96,11 +96,11 @@
             "claimed": f"{entry}/call/van-dispatch/x",
         }
         for name, url in urls.items():
-            times = await _one_by_one(session, url, count=count, key=key)
+            times = await _time_sequential_requests(session, url, count=count, key=key)
             measurement.figures[f"latency_{name}_p50_ms"] = _percentile(times, 50) * 1000
             measurement.figures[f"latency_{name}_p99_ms"] = _percentile(times, 99) * 1000
         for name in ("direct", "entry", "plain_proxy"):
-            rate = await asyncio.to_thread(_rate, urls[name], 2.0 if quick else 5.0)
+            rate = await asyncio.to_thread(_measure_rate, urls[name], 2.0 if quick else 5.0)
             measurement.figures[f"rate_{name}_per_s"] = rate
     finally:
         for helper in helpers:
@@ -123,9 +123,9 @@
         _endpoint(deployment, service="pickup-schedule", name=f"burst-{n}", service_s=BURST_SERVICE_S)
         for n in range(ENDPOINTS)
     ]
-    helper = Helper(serve_endpoints, options)
+    helper = HelperProcess(serve_endpoints, options)
     addresses = helper.receive()
-    proxy = Helper(serve_plain_proxy, addresses)
+    proxy = HelperProcess(serve_plain_proxy, addresses)
     proxy_url = proxy.receive()
     await asyncio.sleep(SETTLE_S)
     seconds = 3.0 if quick else 6.0
@@ -133,7 +133,7 @@
     entries = [daemon.url for daemon in deployment.daemons.values()]
     try:
         for name, urls in (("entries", entries), ("plain_proxy", [proxy_url])):
-            burst = await _burst(
+            burst = await _run_burst(
                 session, urls, rate=possible / seconds * BURST_FACTOR, seconds=seconds, rng=rng
             )
             measurement.figures[f"burst_{name}_useful_part"] = burst.useful / possible
@@ -151,10 +151,10 @@
         helper.stop()
 
 
-async def _burst(
+async def _run_burst(
     session: aiohttp.ClientSession, urls: list[str], *, rate: float, seconds: float, rng: random.Random
-) -> Burst:
-    burst = Burst()
+) -> BurstResult:
+    burst = BurstResult()
     started = time.monotonic()
     tasks = []
     due = 0.0
@@ -170,7 +170,7 @@
 
 
 async def _burst_call(
-    session: aiohttp.ClientSession, url: str, *, burst: Burst, started: float, seconds: float
+    session: aiohttp.ClientSession, url: str, *, burst: BurstResult, started: float, seconds: float
 ) -> None:
     sent = time.monotonic()
     headers = {"Hyssopway-Timeout": str(BURST_TIMEOUT_S)}
@@ -190,7 +190,9 @@
         burst.refusals.append(took)
 
 
-async def _one_by_one(session: aiohttp.ClientSession, url: str, *, count: int, key: str) -> list[float]:
+async def _time_sequential_requests(
+    session: aiohttp.ClientSession, url: str, *, count: int, key: str
+) -> list[float]:
     times = []
     run = time.monotonic_ns()
     for number in range(count):
@@ -204,8 +206,8 @@
     return times
 
 
-def _rate(url: str, seconds: float) -> float:
-    clients = [Helper(run_client, url, 8, seconds) for _ in range(CLIENTS)]
+def _measure_rate(url: str, seconds: float) -> float:
+    clients = [HelperProcess(run_client, url, 8, seconds) for _ in range(CLIENTS)]
     try:
         return sum(float(client.receive()) for client in clients)
     finally:
--- a/src/hyssopway_standins/measure/requests_servers.py
+++ b/src/hyssopway_standins/measure/requests_servers.py
@@ -38,7 +38,7 @@
             return await EndpointStandIn.handle(self, request)
 
 
-class Helper:
+class HelperProcess:
     """A process that reports one value and ends when told or after `LONGEST_S`.
 
     Attributes:
@@ -123,4 +123,4 @@
     return count
 
 
-__all__ = ["Helper", "SlotEndpoint", "run_client", "serve_endpoints", "serve_plain_proxy"]
+__all__ = ["HelperProcess", "SlotEndpoint", "run_client", "serve_endpoints", "serve_plain_proxy"]
--- a/src/hyssopway_standins/measure/state_memory.py
+++ b/src/hyssopway_standins/measure/state_memory.py
@@ -22,8 +22,8 @@
 def measure_memory(measurement: Measurement, *, quick: bool) -> None:
     """Adds the memory that a key and a VM take in the agreed state."""
     sizes = (300, 600, 1200) if quick else (1000, 3000, 9000)
-    for name, make in (("key", grant_new_key), ("VM", register_vm)):
-        points = [(float(count), _state_kb(make, count=count)) for count in sizes]
+    for name, make_command in (("key", grant_new_key), ("VM", register_vm)):
+        points = [(float(count), _state_kb(make_command, count=count)) for count in sizes]
         x, y = zip(*points, strict=True)
         slope, intercept = statistics.linear_regression(x, y)
         worst = max(abs(slope * count + intercept - size) / size for count, size in points)
@@ -34,7 +34,7 @@
         )
 
 
-def _state_kb(make: Callable[[int], Command], *, count: int) -> float:
+def _state_kb(make_command: Callable[[int], Command], *, count: int) -> float:
     state = ControlState()
     text = (EXAMPLES / "pantry" / "document.yaml").read_text()
     trial = TrialDocument(text=text, expected_generation=0, request_id="trial", operator="operator")
@@ -45,7 +45,7 @@
     state.apply(index=2, data=encode_envelope(Envelope(at_ms=2, wall_ms=2, command=promote)))
     tracemalloc.start()
     for number in range(3, count + 3):
-        data = encode_envelope(Envelope(at_ms=number, wall_ms=number, command=make(number)))
+        data = encode_envelope(Envelope(at_ms=number, wall_ms=number, command=make_command(number)))
         outcome = state.apply(index=number, data=data)
         if outcome.failure is not None:
             raise RuntimeError(f"change {number} was refused: {outcome.failure.message}")
--- a/src/hyssopway_standins/measure/target.py
+++ b/src/hyssopway_standins/measure/target.py
@@ -39,7 +39,7 @@
     regions: int = 8
     zones: int = 22
     changes_a_day: int = 22_000
-    in_force_s: float = 16.0
+    activation_s: float = 16.0
     node_core: float = 0.024
     node_memory_mb: float = 128.0
     node_bytes_a_second: float = 5_000.0
--- a/src/hyssopway_standins/measure/zone_work.py
+++ b/src/hyssopway_standins/measure/zone_work.py
@@ -15,7 +15,7 @@
 from hyssopway.fleet import FleetController
 from hyssopway_standins.fleet import EXAMPLES, load_example_document, load_sizes, place_vms
 
-from .job_world import CAPACITY, STEP_S, JobWorld
+from .job_simulation import CAPACITY, STEP_S, JobSimulation
 
 if TYPE_CHECKING:
     from hyssopway.control.record import Job, Vm
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True, kw_only=True)
-class ZoneWork:
+class ZoneChangeSimulation:
     """One run of a deployment.
 
     Attributes:
@@ -51,7 +51,7 @@
 
     deployment: str
     rng: random.Random
-    world: JobWorld
+    simulation: JobSimulation
     demand: dict[str, float] = field(default_factory=dict)
     failed: dict[str, float] = field(default_factory=dict)
     accepted: int = 0
@@ -61,25 +61,25 @@
     async def run(self) -> dict[str, float]:
         """Returns the work done as a part of what the remaining VMs could do, with the checks beside it."""
         zone = self._prepare()
-        scheduler, controller = self.world.scheduler(), self._controller()
+        scheduler, controller = self.simulation.scheduler(), self._controller()
         done = possible = 0.0
         for step in range(round(ENDS_S / STEP_S)):
-            self._inject(step, zone=zone)
+            self._inject_faults(step, zone=zone)
             if step == round(NEW_LEADER_S / STEP_S):
                 # A daemon resets its feed while another one leads, so that it then plans from the whole state.
-                self.world.replica.state.indexes.feed.reset()
-                scheduler, controller = self.world.scheduler(), self._controller()
+                self.simulation.replica.state.indexes.feed.reset()
+                scheduler, controller = self.simulation.scheduler(), self._controller()
             if step % SYNC_STEPS == 0:
                 self._end_drains()
                 await controller.control_once()
-            self._ask()
+            self._submit_demand()
             await scheduler.schedule_once()
-            self.world.step()
-            if self.world.now >= LEAVES_S:
+            self.simulation.step()
+            if self.simulation.now >= LEAVES_S:
                 done += self._count_running(zone=zone)
                 possible += self._count_possible(zone=zone)
-        await self._finish(scheduler, controller)
-        jobs = self.world.replica.state.tables.jobs.values()
+        await self._run_to_completion(scheduler, controller)
+        jobs = self.simulation.replica.state.tables.jobs.values()
         prefix = f"{self.deployment}_zone_jobs"
         return {
             f"{prefix}_work_share": done / possible,
@@ -94,15 +94,15 @@
         data = yaml.safe_load((EXAMPLES / self.deployment / "document.yaml").read_text())
         limit = {"cores": 1e6, "memory_gb": 1e6, "accelerators": 0}
         data["teams"] = [{"name": TEAM, "share": 1, "max_running": 1_000_000, "limit": limit}]
-        self.world.activate_document(yaml.safe_dump(data))
+        self.simulation.activate_document(yaml.safe_dump(data))
         document = load_example_document(self.deployment)
-        for place in place_vms(document=document, sizes=load_sizes(self.deployment)):
-            self.world.apply(
+        for location in place_vms(document=document, sizes=load_sizes(self.deployment)):
+            self.simulation.apply(
                 RegisterVm(
-                    vm=place.name,
-                    zone=place.zone,
-                    rack=place.rack,
-                    pool=place.pool,
+                    vm=location.name,
+                    zone=location.zone,
+                    rack=location.rack,
+                    pool=location.pool,
                     capacity=CAPACITY,
                     home="h",
                     boot_id="b",
@@ -114,38 +114,38 @@
 
     def _controller(self) -> FleetController:
         return FleetController(
-            replica=self.world.replica,
-            submitter=self.world,  # type: ignore[arg-type]
+            replica=self.simulation.replica,
+            submitter=self.simulation,  # type: ignore[arg-type]
             leads=lambda: True,
-            clock=self.world.clock,
-            now_ms=self.world.now_ms,
+            clock=self.simulation.clock,
+            now_ms=self.simulation.now_ms,
         )
 
-    def _inject(self, step: int, *, zone: str) -> None:
+    def _inject_faults(self, step: int, *, zone: str) -> None:
         at_s = step * STEP_S
         for change_s, status in ((LEAVES_S, ZoneStatus.WITHDRAWN), (RETURNS_S, ZoneStatus.RETURNING)):
             if step == round(change_s / STEP_S):
-                self.world.apply(
+                self.simulation.apply(
                     SetZone(zone=zone, status=status, request_id=f"z{step}", operator="operator")
                 )
         if step in {round(fault_s / STEP_S) for fault_s in FAULTS_S}:
-            vms = self.world.replica.state.tables.vms.values()
+            vms = self.simulation.replica.state.tables.vms.values()
             vm = self.rng.choice([vm for vm in vms if vm.state is VmState.READY and vm.zone != zone])
             self._end_runs(vm, outcome=RunOutcome.LOST, checkpointable=False)
             self._change(vm, VmState.DOWN)
             self.failed[vm.name] = at_s + DOWN_S
         for name in [name for name, until_s in self.failed.items() if until_s <= at_s]:
             del self.failed[name]
-            self._change(self.world.replica.state.tables.vms[name], VmState.READY)
+            self._change(self.simulation.replica.state.tables.vms[name], VmState.READY)
 
-    def _ask(self) -> None:
+    def _submit_demand(self) -> None:
         """Keeps the demand of each pool running or waiting."""
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         asked = Counter(job.spec.pool for job in [*state.indexes.pending.values(), *self._running()])
         for pool, cores in self.demand.items():
             for _ in range(round(cores / NEED.cores) - asked[pool]):
                 self.accepted += 1
-                self.world.accept(
+                self.simulation.accept(
                     f"job-{self.accepted}",
                     team=TEAM,
                     need=NEED,
@@ -154,12 +154,12 @@
                 )
 
     def _running(self) -> list[Job]:
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         return [state.tables.jobs[job_id] for ids in state.indexes.running.values() for job_id in ids]
 
     def _end_drains(self) -> None:
         """Checkpoints what can be, and reports VMs that are empty."""
-        tables = self.world.replica.state.tables
+        tables = self.simulation.replica.state.tables
         for vm in [tables.vms[name] for name in tables.permits]:
             if vm.state is VmState.DRAINING:
                 self._end_runs(vm, outcome=RunOutcome.CHECKPOINTED, checkpointable=True)
@@ -168,47 +168,47 @@
         self.peak_down = max(self.peak_down, *planned.values(), 0)
 
     def _end_runs(self, vm: Vm, *, outcome: RunOutcome, checkpointable: bool) -> None:
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         for job_id in sorted(state.indexes.running.get(vm.name, ())):
             job = state.tables.jobs[job_id]
             if job.run is not None and (job.spec.checkpointable or not checkpointable):
-                self.world.apply(EndRun(job_id=job_id, epoch=job.run.epoch, outcome=outcome))
+                self.simulation.apply(EndRun(job_id=job_id, epoch=job.run.epoch, outcome=outcome))
 
     def _change(self, vm: Vm, state: VmState) -> None:
-        self.world.apply(ChangeVm(vm=vm.name, state=state, expected_epoch=vm.epoch, reason="measure"))
+        self.simulation.apply(ChangeVm(vm=vm.name, state=state, expected_epoch=vm.epoch, reason="measure"))
 
     def _count_running(self, *, zone: str) -> float:
-        state = self.world.replica.state
+        state = self.simulation.replica.state
         runs = [job.run for job in self._running() if job.run is not None]
-        withdrawn = LEAVES_S + 5.0 < self.world.now < RETURNS_S
+        withdrawn = LEAVES_S + 5.0 < self.simulation.now < RETURNS_S
         for run in runs:
             in_zone = state.tables.vms[run.vm].zone == zone
             self.late_starts += withdrawn and in_zone and run.started_ms > (LEAVES_S + 5.0) * 1000
         return len(runs) * NEED.cores
 
     def _count_possible(self, *, zone: str) -> float:
-        closed = self.world.now < RETURNS_S
-        vms = self.world.replica.state.tables.vms.values()
+        closed = self.simulation.now < RETURNS_S
+        vms = self.simulation.replica.state.tables.vms.values()
         remaining = sum(vm.state is not VmState.DOWN and not (closed and vm.zone == zone) for vm in vms)
         return min(sum(self.demand.values()), remaining * CAPACITY.cores)
 
-    async def _finish(self, scheduler: JobScheduler, controller: FleetController) -> None:
+    async def _run_to_completion(self, scheduler: JobScheduler, controller: FleetController) -> None:
         """Lets all accepted jobs end."""
         for step in range(round(60 / STEP_S)):
-            if not self.world.replica.state.indexes.pending and not self.world.ends:
+            if not self.simulation.replica.state.indexes.pending and not self.simulation.ends:
                 return
             if step % SYNC_STEPS == 0:
                 self._end_drains()
                 await controller.control_once()
             await scheduler.schedule_once()
-            self.world.step()
+            self.simulation.step()
 
 
 async def measure_zone_work(deployment: str, *, seed: int) -> dict[str, float]:
     """Runs a deployment through a withdrawal and a return with faults."""
     rng = random.Random(seed)
-    world = JobWorld(weights={TEAM: 1.0}, run_s=lambda _: rng.uniform(2, 6))
-    return await ZoneWork(deployment=deployment, rng=rng, world=world).run()
+    simulation = JobSimulation(weights={TEAM: 1.0}, run_s=lambda _: rng.uniform(2, 6))
+    return await ZoneChangeSimulation(deployment=deployment, rng=rng, simulation=simulation).run()
 
 
 __all__ = ["measure_zone_work"]
--- a/src/hyssopway_standins/network.py
+++ b/src/hyssopway_standins/network.py
@@ -1,4 +1,4 @@
-"""A network between daemons that drops bytes in chosen directions."""
+"""TCP relays between daemons that simulate network partitions."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 class Network:
     """One TCP relay for each ordered pair of daemons.
 
-    A connection that lost bytes, or that was opened while its direction was cut, stays silent after the network
-    heals, as behind a firewall that forgot it. Only a new connection gets through.
+    A connection that lost bytes, or that was opened while its direction was cut, delivers nothing after the network
+    heals, as behind a firewall that dropped its state. Only a new connection delivers data.
 
     Attributes:
-        cuts: Directions, as sender and receiver, whose bytes are dropped.
-        healed: Set while nothing is cut.
-        servers: Listeners of the relays.
+        cuts: Pairs of sender and receiver whose bytes are dropped.
+        healed: Set while no direction is cut.
+        servers: TCP servers of the relays.
         connections: Tasks of open connections.
-        forwarded: Bytes that got through, in all directions.
+        forwarded: Number of bytes forwarded in all directions.
     """
 
     cuts: set[tuple[str, str]] = field(default_factory=set)
@@ -39,7 +39,7 @@
     forwarded: int = 0
 
     async def attach(self, deployment: Deployment) -> None:
-        """Opens the relays and writes their addresses into the settings of daemons that do not run yet."""
+        """Opens the relays and writes their ports into the settings; call it before the daemons start."""
         self.healed.set()
         for source, daemon in deployment.daemons.items():
             daemon.settings["peers"] = peers = deepcopy(daemon.settings["peers"])
@@ -49,12 +49,12 @@
             daemon.settings_path.write_text(yaml.safe_dump(daemon.settings))
 
     def cut(self, directions: Iterable[tuple[str, str]]) -> None:
-        """Drops all bytes in these directions from now on."""
+        """Drops all bytes sent in these directions from now on."""
         self.cuts |= set(directions)
         self.healed.clear()
 
     def heal(self) -> None:
-        """Forwards again what new connections send."""
+        """Removes all cuts; new connections deliver data again."""
         self.cuts.clear()
         self.healed.set()
 
@@ -82,7 +82,7 @@
                     self._forward(there_reader, writer, direction=(target, source)),
                 )
             except OSError:
-                pass  # a killed daemon refuses or resets; the other side sees its connection end
+                pass  # a killed daemon refuses or resets the connection; closing it tells the other side
             finally:
                 writer.close()
 
@@ -102,7 +102,7 @@
                     writer.write(data)
                     await writer.drain()
             if direction in self.cuts:
-                # The end of a connection is lost with everything else.
+                # A closed connection is not visible across a cut either, so the close is forwarded after the heal.
                 await self.healed.wait()
         finally:
             writer.close()
--- a/src/hyssopway_standins/platform.py
+++ b/src/hyssopway_standins/platform.py
@@ -1,4 +1,4 @@
-"""A platform: drains, reboots and returns VMs, and fails as platforms do."""
+"""Stand-in for the platform API: drains, reboots and returns VMs, and injects faults."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hyssopway.http import json_response
 from hyssopway.platform import PlatformAction, PlatformState, PlatformVm
 
-_AFTER = {
+_RESULTING_STATES = {
     PlatformAction.DRAIN: PlatformState.DRAINED,
     PlatformAction.REBOOT: PlatformState.DRAINED,
     PlatformAction.RETURN: PlatformState.SERVING,
@@ -21,7 +21,12 @@
 
 
 class PlatformFault(StrEnum):
-    """How the platform treats an operation."""
+    """Fault that the platform injects into an operation.
+
+    FALSE_SUCCESS responds with success and SERVER_ERROR with HTTP 500, both without executing the operation;
+    NO_RESPONSE executes it and responds only after 60 s; LATE_RESPONSE executes it after a delay; EXECUTED_TWICE
+    executes it twice; FALSELY_HEALTHY executes it, but work on the VM fails from then on.
+    """
 
     FALSE_SUCCESS = "says_done"
     NO_RESPONSE = "never_answers"
@@ -33,14 +38,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class SimulatedVm:
-    """What really happened to a VM.
+    """Actual state of a VM, which the API may report wrongly.
 
     Attributes:
         state: State.
-        works: Whether work on the VM succeeds; reported health may differ.
-        done: Effects by operation id; more than 1 is an operation done twice.
-        operations: Completed operation ids.
-        posts: Operations asked for, repeats included.
+        works: Whether work on the VM succeeds; the reported health is always good.
+        done: Number of executions by operation ID; more than 1 means that an operation was repeated.
+        operations: IDs of completed operations.
+        posts: Number of requested operations, including retries.
     """
 
     state: PlatformState = PlatformState.SERVING
@@ -52,26 +57,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class PlatformStandIn:
-    """The platform's API with faults; truth is counted here.
+    """HTTP server with the platform API; it injects faults and records the actual state of VMs.
 
     Attributes:
-        vms: Truth by VM.
-        faults: Faults of the next operations by VM; each is used once.
-        late_s: Delay of a late answer.
-        act_s: Time that an operation takes.
-        on_reboot: Called with a VM when it reboots, so that its worker restarts.
+        vms: Actual state by VM name.
+        faults: Faults of the next operations by VM; each one applies to one operation.
+        late_s: Delay of a late response.
+        operation_s: Duration of an operation.
+        on_reboot: Callback with the name of a rebooted VM, used to restart its worker.
     """
 
     vms: dict[str, SimulatedVm]
     faults: dict[str, list[PlatformFault]] = field(default_factory=dict)
     late_s: float = 1.0
-    act_s: float = 0.0
+    operation_s: float = 0.0
     on_reboot: Callable[[str], None] = lambda _: None
     url: str = ""
     runner: web.AppRunner | None = None
 
     async def start(self, *, host: str = "127.0.0.1") -> None:
-        """Listens on a port picked by the kernel."""
+        """Starts the HTTP server on a free port that the kernel assigns."""
         app = web.Application()
         app.router.add_get("/vms", self.list_vms)
         app.router.add_get("/vms/{vm}", self.read_vm)
@@ -83,21 +88,21 @@
         self.url = f"http://{host}:{self.runner.addresses[0][1]}"
 
     async def stop(self) -> None:
-        """Stops listening."""
+        """Stops the HTTP server."""
         if self.runner is not None:
             await self.runner.cleanup()
 
     async def list_vms(self, request: web.Request) -> web.Response:
         """Lists all VMs."""
-        return json_response([self._show(name) for name in sorted(self.vms)])
+        return json_response([self._describe_vm(name) for name in sorted(self.vms)])
 
     async def read_vm(self, request: web.Request) -> web.Response:
-        """Shows one VM."""
+        """Returns one VM."""
         name = request.match_info["vm"]
-        return json_response(self._show(name)) if name in self.vms else json_response({}, status=404)
+        return json_response(self._describe_vm(name)) if name in self.vms else json_response({}, status=404)
 
     async def operate(self, request: web.Request) -> web.Response:
-        """Takes an operation."""
+        """Executes an operation on a VM, with the next injected fault of that VM."""
         name = request.match_info["vm"]
         if name not in self.vms or request.match_info["action"] not in list(PlatformAction):
             return json_response({}, status=404)
@@ -106,43 +111,43 @@
         waiting = self.faults.get(name)
         fault = waiting.pop(0) if waiting else None
         self.vms[name].posts += 1
-        await asyncio.sleep(self.act_s)
-        return await self._answer(name, action=action, operation_id=operation_id, fault=fault)
+        await asyncio.sleep(self.operation_s)
+        return await self._respond(name, action=action, operation_id=operation_id, fault=fault)
 
-    async def _answer(
+    async def _respond(
         self, name: str, *, action: PlatformAction, operation_id: str, fault: PlatformFault | None
     ) -> web.Response:
         match fault:
             case PlatformFault.FALSE_SUCCESS:
-                return json_response(self._show(name))
+                return json_response(self._describe_vm(name))
             case PlatformFault.SERVER_ERROR:
                 return json_response({}, status=500)
             case PlatformFault.NO_RESPONSE:
-                self._act(name, action=action, operation_id=operation_id)
+                self._execute(name, action=action, operation_id=operation_id)
                 await asyncio.sleep(60.0)
             case PlatformFault.LATE_RESPONSE:
                 await asyncio.sleep(self.late_s)
             case PlatformFault.EXECUTED_TWICE:
-                self._act(name, action=action, operation_id=operation_id)
+                self._execute(name, action=action, operation_id=operation_id)
                 self.vms[name].operations.remove(operation_id)
             case PlatformFault.FALSELY_HEALTHY:
                 self.vms[name].works = False
-        self._act(name, action=action, operation_id=operation_id)
-        return json_response(self._show(name))
+        self._execute(name, action=action, operation_id=operation_id)
+        return json_response(self._describe_vm(name))
 
-    def _act(self, name: str, *, action: PlatformAction, operation_id: str) -> None:
-        truth = self.vms[name]
-        if operation_id in truth.operations:
+    def _execute(self, name: str, *, action: PlatformAction, operation_id: str) -> None:
+        vm = self.vms[name]
+        if operation_id in vm.operations:
             return
-        truth.operations.append(operation_id)
-        truth.done[operation_id] += 1
-        truth.state = _AFTER[action]
+        vm.operations.append(operation_id)
+        vm.done[operation_id] += 1
+        vm.state = _RESULTING_STATES[action]
         if action is PlatformAction.REBOOT:
             self.on_reboot(name)
 
-    def _show(self, name: str) -> PlatformVm:
-        truth = self.vms[name]
-        return PlatformVm(name=name, state=truth.state, healthy=True, operations=truth.operations[-20:])
+    def _describe_vm(self, name: str) -> PlatformVm:
+        vm = self.vms[name]
+        return PlatformVm(name=name, state=vm.state, healthy=True, operations=vm.operations[-20:])
 
 
 __all__ = ["PlatformFault", "PlatformStandIn", "SimulatedVm"]
--- a/src/hyssopway_standins/processes.py
+++ b/src/hyssopway_standins/processes.py
@@ -26,14 +26,14 @@
 
 @dataclass(slots=True, kw_only=True)
 class DaemonProcess:
-    """One daemon as a process.
+    """One daemon that runs as a process.
 
     Attributes:
-        name: Daemon.
-        settings_path: Its settings file.
-        settings: Content of that file.
-        log_path: Where its log goes.
-        process: The process while it runs.
+        name: Name of the daemon.
+        settings_path: Settings file of the daemon.
+        settings: Content of the settings file.
+        log_path: File that stdout and stderr are appended to.
+        process: Last started process; None before the first start.
     """
 
     name: str
@@ -44,12 +44,12 @@
 
     @property
     def own(self) -> dict[str, Any]:
-        """Entry of this daemon among the peers."""
+        """Entry of this daemon in the list of peers."""
         return next(peer for peer in self.settings["peers"] if peer["name"] == self.name)
 
     @property
     def url(self) -> str:
-        """Base URL of its HTTP interface."""
+        """Base URL of the HTTP API."""
         scheme = "https" if self.settings.get("tls") else "http"
         return f"{scheme}://{self.own['host']}:{self.own['http_port']}"
 
@@ -72,13 +72,13 @@
             os.kill(self.process.pid, number)
 
     def kill(self) -> None:
-        """Kills the process as a power loss would and waits for its end."""
+        """Kills the process without a graceful stop, like a power loss, and waits for its end."""
         self.send(signal.SIGKILL)
         if self.process is not None:
             self.process.wait()
 
     def stop(self, *, timeout_s: float = 10.0) -> int:
-        """Asks the process to stop and returns its exit status."""
+        """Stops the process gracefully, kills it after the timeout, and returns its exit status."""
         if self.process is None:
             return 0
         self.send(signal.SIGTERM)
@@ -94,8 +94,8 @@
     """All daemons of an example deployment.
 
     Attributes:
-        name: Example deployment.
-        folder: Folder for settings, data and logs.
+        name: Name of the example deployment.
+        folder: Directory for settings, data and logs.
         daemons: Daemons by name.
     """
 
@@ -105,11 +105,11 @@
 
     @staticmethod
     def prepare(*, name: str, folder: Path, overrides: dict[str, Any] | None = None) -> Deployment:
-        """Writes settings with ports picked by the kernel."""
+        """Writes the settings of all daemons, with free ports that the kernel assigns."""
         deployment = Deployment(name=name, folder=folder)
         paths = sorted((EXAMPLES / name / "settings").glob("*.yaml"))
         peers: list[dict[str, Any]] = yaml.safe_load(paths[0].read_text())["peers"]
-        for peer, host in zip(peers, _own_addresses(), strict=False):
+        for peer, host in zip(peers, _loopback_addresses(), strict=False):
             http_port, peer_port = _free_ports(host, count=2)
             peer |= {"host": host, "http_port": http_port, "peer_port": peer_port}
         for path in paths:
@@ -117,7 +117,7 @@
             if "data_dir" in settings:
                 settings["data_dir"] = str(folder / settings["data_dir"])
             settings.pop("platform_url", None)
-            # There is no balancer in front of the stand-ins that needs time to look away.
+            # No load balancer is in front of the daemons, so the health check need not fail for long before a stop.
             settings["drain_health_s"] = 0.1
             settings |= overrides or {}
             target = folder / path.name
@@ -160,7 +160,7 @@
         """Waits until every running daemon is confirmed by a leader.
 
         Raises:
-            TimeoutError: A daemon is not ready in time.
+            TimeoutError: A daemon was not confirmed in time.
         """
         deadline = time.monotonic() + timeout_s
         headers = {"Authorization": f"Bearer {self.operator_token}"}
@@ -184,9 +184,9 @@
         await asyncio.sleep(0.05)
 
 
-def _own_addresses() -> Iterator[str]:
-    # Connections to loopback start at 127.0.0.1; listening elsewhere keeps the kernel from giving a port
-    # that was picked here to one of them before the daemon listens.
+def _loopback_addresses() -> Iterator[str]:
+    # Outgoing connections on loopback use 127.0.0.1 as their source. With other addresses for the listeners, the
+    # kernel cannot assign a port that was chosen here to such a connection before the daemon listens on it.
     process = os.getpid()
     for number in range(1, 255):
         yield f"127.{1 + process // 250 % 250}.{1 + process % 250}.{number}"
--- a/src/hyssopway_standins/state_machine.py
+++ b/src/hyssopway_standins/state_machine.py
@@ -1,4 +1,4 @@
-"""An agreed state without a log, for decisions that are driven directly."""
+"""Replicated state without a log or peers, for tests and measurements of decisions."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class StateMachineStandIn:
-    """Applies commands at once, at a time that the caller sets.
+    """Applies commands immediately, at a time that the caller sets.
 
     Attributes:
-        state: The agreed state.
+        state: The replicated state.
         now_ms: Time of the next command.
-        data: The document in force as plain data.
+        data: The active document as plain data.
     """
 
     state: ControlState = field(default_factory=ControlState)
@@ -36,19 +36,19 @@
 
     @staticmethod
     def prepare(*, data: dict[str, Any]) -> StateMachineStandIn:
-        """Puts a document in force."""
+        """Creates a state in which a document is active."""
         state_machine = StateMachineStandIn()
         state_machine.change_document(data)
         return state_machine
 
     @staticmethod
     def prepare_example(deployment: str) -> StateMachineStandIn:
-        """Puts an example document in force and registers its VMs."""
+        """Creates a state with the active document and the VMs of an example deployment."""
         text = (EXAMPLES / deployment / "document.yaml").read_text()
         state_machine = StateMachineStandIn.prepare(data=yaml.safe_load(text))
         sizes = load_sizes(deployment)
-        for place in place_vms(document=load_example_document(deployment), sizes=sizes):
-            state_machine.register(place.name, zone=place.zone, rack=place.rack, pool=place.pool)
+        for location in place_vms(document=load_example_document(deployment), sizes=sizes):
+            state_machine.register(location.name, zone=location.zone, rack=location.rack, pool=location.pool)
         return state_machine
 
     def apply(self, command: Command) -> Outcome:
@@ -57,10 +57,10 @@
         return self.state.apply(index=self.state.applied_index + 1, data=data)
 
     def change_document(self, data: dict[str, Any]) -> None:
-        """Tries and promotes a document.
+        """Runs a document in trial and promotes it to production.
 
         Raises:
-            ValueError: The document is refused.
+            ValueError: The document was rejected.
         """
         text = yaml.safe_dump(data)
         index = self.state.applied_index
@@ -81,7 +81,7 @@
         self.data = copy.deepcopy(data)
 
     def register(self, vm: str, *, zone: str, rack: str, pool: str, boot_id: str = "boot-1") -> None:
-        """Registers a VM or its restarted worker."""
+        """Registers a VM, or its worker after a restart when `boot_id` is new."""
         self.apply(
             RegisterVm(
                 vm=vm,
--- a/src/hyssopway_standins/waiting.py
+++ b/src/hyssopway_standins/waiting.py
@@ -1,4 +1,4 @@
-"""Waits for a state of a deployment."""
+"""Polls a deployment until a condition holds."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 async def wait_until(check: Callable[[], Awaitable[Any]], *, timeout_s: float = 15.0) -> Any:
-    """Repeats a check until it returns something true, and returns that.
+    """Repeats a check until it returns a true value, and returns that value.
 
     Raises:
-        TimeoutError: The check does not succeed in time.
+        TimeoutError: The check returned no true value in time.
     """
     deadline = time.monotonic() + timeout_s
     while True:
--- a/src/hyssopway_standins/worker.py
+++ b/src/hyssopway_standins/worker.py
@@ -1,4 +1,4 @@
-"""A worker: runs tasks on a VM under a lease."""
+"""Stand-in for a worker: simulates tasks on a VM under a lease."""
 
 from __future__ import annotations
 
@@ -19,39 +19,39 @@
 
 from .endpoint import EndpointStandIn
 
-SYNC_S = 0.5
-WAIT_S = 1.0
+SYNC_INTERVAL_S = 0.5
+LONG_POLL_S = 1.0
 
-# A request that hangs is given up early enough to renew the lease through another entry.
-TIMEOUT_S = 2.5
+# Aborts a hanging request early enough to renew the lease through another entry VM.
+REQUEST_TIMEOUT_S = 2.5
 
-# Ends that follow one another closely are reported together.
-GATHER_S = 0.02
+# Runs that end within this time are reported in one sync.
+BATCH_DELAY_S = 0.02
 _REPLY = TypeAdapter(SyncReply)
 
 
 @dataclass(slots=True, kw_only=True)
 class WorkerStandIn:
-    """One worker and what it did.
+    """One worker, with a record of the runs that it started and ended.
 
     Attributes:
         vm: VM that it runs on.
         zone: Availability zone.
         rack: Rack.
         pool: Pool that the VM starts in.
-        capacity: What the VM has.
+        capacity: Resources of the VM.
         entries: Base URLs of the entry VMs of its zone.
-        fleet_token: Secret for syncs.
-        sync_s: Pause after a sync that failed or that the home may not hold.
-        wait_s: How long the home may hold a sync.
-        changed: Set when a task ended.
-        time_scale: Factor on declared run times.
-        choose_outcome: Decides how a run ends.
+        fleet_token: Secret that authenticates syncs.
+        sync_s: Pause after a failed sync, and after each sync when `wait_s` is 0.
+        wait_s: Time for which the home may hold back its reply (long poll); 0 disables it.
+        run_ended: Set when a run ends, to interrupt a sync that waits.
+        time_scale: Factor by which declared run times are multiplied.
+        choose_outcome: Returns the outcome of a run.
         endpoints: Endpoints on its VM.
-        starts: Every start with its local time.
-        ends: Every end of a task with its local time.
+        starts: Local time, job and epoch of every start.
+        ends: Local time, job and epoch of every end.
         tasks: Running tasks by job.
-        ended: Ended runs that are not acknowledged.
+        ended: Ended runs that the home has not acknowledged yet, by job.
     """
 
     vm: str
@@ -62,9 +62,9 @@
     entries: Sequence[str]
     fleet_token: str
     time_scale: float = 1.0
-    sync_s: float = SYNC_S
-    wait_s: float = WAIT_S
-    changed: asyncio.Event = field(default_factory=asyncio.Event)
+    sync_s: float = SYNC_INTERVAL_S
+    wait_s: float = LONG_POLL_S
+    run_ended: asyncio.Event = field(default_factory=asyncio.Event)
     choose_outcome: Callable[[StartOrder], RunOutcome] = lambda _: RunOutcome.DONE
     endpoints: list[EndpointStandIn] = field(default_factory=list)
     starts: list[tuple[float, str, int]] = field(default_factory=list)
@@ -79,11 +79,11 @@
     lease_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins to sync."""
+        """Starts the sync loop."""
         self.loop_task = asyncio.create_task(self.sync_until_cancelled())
 
     def stop(self) -> None:
-        """Stops at once, as a killed VM does."""
+        """Stops immediately without reporting anything, like a killed VM."""
         if self.loop_task is not None:
             self.loop_task.cancel()
         if self.lease_timer is not None:
@@ -94,45 +94,48 @@
         self.tasks.clear()
 
     def restart(self) -> None:
-        """Starts again as a new process that knows nothing of its former tasks."""
+        """Starts again with a new boot ID and without knowledge of earlier runs, like a new process."""
         self.boot_id = secrets.token_hex(4)
         self.ended.clear()
         self.number = self.seen_index = 0
         self.start()
 
     def isolate(self) -> None:
-        """Stops to sync; tasks go on until the lease ends."""
+        """Stops syncing; tasks continue until the lease expires."""
         if self.loop_task is not None:
             self.loop_task.cancel()
 
     async def sync_until_cancelled(self) -> None:
-        """Syncs with the first entry that answers; stops tasks when the lease ends."""
+        """Syncs with one entry VM and moves to the next one when a sync fails."""
         position = 0
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 entry = self.entries[position % len(self.entries)]
-                synced = await self._sync_unless_changed(session, entry)
+                synced = await self._sync_until_run_ends(session, entry)
                 if synced is False:
                     position += 1
                 if synced is None or (synced and self.wait_s):
-                    await asyncio.sleep(GATHER_S)
+                    await asyncio.sleep(BATCH_DELAY_S)
                 else:
                     await asyncio.sleep(self.sync_s)
 
-    async def _sync_unless_changed(self, session: aiohttp.ClientSession, entry: str) -> bool | None:
-        """Gives up a sync without ends that waits for orders when a task ends; returns None then."""
+    async def _sync_until_run_ends(self, session: aiohttp.ClientSession, entry: str) -> bool | None:
+        """Syncs, but aborts a long poll as soon as a run ends, so that the end is reported at once.
+
+        Returns whether the sync succeeded, or None when it was aborted.
+        """
         if not self.wait_s or self.ended:
             return await self._sync(session, entry)
-        self.changed.clear()
+        self.run_ended.clear()
         attempt = asyncio.create_task(self._sync(session, entry))
-        changed = asyncio.create_task(self.changed.wait())
+        run_ended = asyncio.create_task(self.run_ended.wait())
         try:
-            await asyncio.wait({attempt, changed}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({attempt, run_ended}, return_when=asyncio.FIRST_COMPLETED)
             return attempt.result() if attempt.done() else None
         finally:
             attempt.cancel()
-            changed.cancel()
+            run_ended.cancel()
 
     async def _sync(self, session: aiohttp.ClientSession, entry: str) -> bool:
         sent_at = time.monotonic()
@@ -141,38 +144,38 @@
         headers = {"Authorization": f"Bearer {self.fleet_token}"}
         reported = dict(self.ended)
         try:
-            async with session.post(url, data=to_json(self.make_report()), headers=headers) as answer:
+            async with session.post(url, data=to_json(self.build_sync_request()), headers=headers) as answer:
                 if answer.status != 200:
                     return False
                 reply = _REPLY.validate_json(await answer.read())
         except (aiohttp.ClientError, TimeoutError):
             return False
         self.seen_index = max(self.seen_index, reply.state_index)
-        self._renew(sent_at + reply.lease_s)
+        self._renew_lease(sent_at + reply.lease_s)
         for job_id in reply.acknowledged:
             if self.ended.get(job_id) is reported.get(job_id):
                 self.ended.pop(job_id, None)
         for job_id in reply.stop:
-            self._end(job_id, outcome=RunOutcome.STOPPED, detail="stopped on request")
+            self._end_run(job_id, outcome=RunOutcome.STOPPED, detail="stopped on request")
         for job_id in reply.checkpoint:
-            self._end(job_id, outcome=RunOutcome.CHECKPOINTED, detail="checkpointed on request")
+            self._end_run(job_id, outcome=RunOutcome.CHECKPOINTED, detail="checkpointed on request")
         for endpoint in self.endpoints:
-            endpoint.follow(leave=reply.leave)
+            endpoint.set_leaving(leave=reply.leave)
         for order in reply.start:
             if time.monotonic() < sent_at + order.start_within_s:
-                self._begin(order)
+                self._start_run(order)
         return True
 
-    def _renew(self, lease_expires_at: float) -> None:
-        # A timer of its own ends the lease on time also while a sync waits for an answer.
+    def _renew_lease(self, lease_expires_at: float) -> None:
+        # A separate timer stops the tasks on time even while a sync waits for its reply.
         self.lease_expires_at = lease_expires_at
         if self.lease_timer is not None:
             self.lease_timer.cancel()
         left_s = max(0.0, lease_expires_at - time.monotonic())
         self.lease_timer = asyncio.get_running_loop().call_later(left_s, self._stop_all, "lease ended")
 
-    def make_report(self) -> SyncRequest:
-        """Returns what the next sync reports."""
+    def build_sync_request(self) -> SyncRequest:
+        """Returns the request of the next sync."""
         now = time.monotonic()
         return SyncRequest(
             zone=self.zone,
@@ -197,26 +200,26 @@
         )
 
     def _count_requests(self) -> int | None:
-        if not all(endpoint.left for endpoint in self.endpoints):
+        if not all(endpoint.has_left for endpoint in self.endpoints):
             return None
         return sum(endpoint.in_progress for endpoint in self.endpoints)
 
-    def _begin(self, order: StartOrder) -> None:
+    def _start_run(self, order: StartOrder) -> None:
         if order.job_id in self.tasks or order.job_id in self.ended:
             return
         now = time.monotonic()
         self.starts.append((now, order.job_id, order.epoch))
         timer = asyncio.get_running_loop().call_later(
-            order.run_s * self.time_scale, self._finish, order.job_id
+            order.run_s * self.time_scale, self._finish_run, order.job_id
         )
         self.tasks[order.job_id] = RunningStandInTask(order=order, started_at=now, timer=timer)
 
-    def _finish(self, job_id: str) -> None:
+    def _finish_run(self, job_id: str) -> None:
         task = self.tasks.get(job_id)
         if task is not None:
-            self._end(job_id, outcome=self.choose_outcome(task.order), detail="")
+            self._end_run(job_id, outcome=self.choose_outcome(task.order), detail="")
 
-    def _end(self, job_id: str, *, outcome: RunOutcome, detail: str) -> None:
+    def _end_run(self, job_id: str, *, outcome: RunOutcome, detail: str) -> None:
         task = self.tasks.pop(job_id, None)
         if task is None:
             return
@@ -226,21 +229,21 @@
         self.ended[job_id] = EndedRun(
             job_id=job_id, epoch=task.order.epoch, outcome=outcome, detail=detail, checkpoint=checkpoint
         )
-        self.changed.set()
+        self.run_ended.set()
 
     def _stop_all(self, reason: str) -> None:
         for job_id in list(self.tasks):
-            self._end(job_id, outcome=RunOutcome.LOST, detail=reason)
+            self._end_run(job_id, outcome=RunOutcome.LOST, detail=reason)
 
 
 @dataclass(slots=True, kw_only=True)
 class RunningStandInTask:
-    """A task that a stand-in runs.
+    """A task that the stand-in simulates.
 
     Attributes:
-        order: The order that started it.
-        started_at: Local time of its start.
-        timer: Ends the task.
+        order: Start order of the task.
+        started_at: Local time of the start.
+        timer: Timer that ends the task after its run time.
     """
 
     order: StartOrder
