--- a/src/hyssopway_standins/measure/__init__.py
+++ b/src/hyssopway_standins/measure/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements behind the docs, `make measure`."""
+"""Measurements whose results the documentation cites; run by `make measure`."""
 
 from __future__ import annotations
 
--- a/src/hyssopway_standins/measure/__main__.py
+++ b/src/hyssopway_standins/measure/__main__.py
@@ -14,16 +14,16 @@
 if TYPE_CHECKING:
     from .measurement import Measurement
 
-# Each area is a module of this package with `measure(*, seed: int, quick: bool) -> Measurement`.
+# Each area is a module of this package that defines `measure(*, seed: int, quick: bool) -> Measurement`.
 AREAS: tuple[str, ...] = ("agreement", "requests", "jobs", "fleet", "nodes", "dispatch")
 
 
 def main() -> int:
-    """Runs the areas asked for and writes the report."""
+    """Runs the requested areas and writes the report after each one."""
     parser = argparse.ArgumentParser(prog="measure")
     parser.add_argument("areas", nargs="*", metavar="AREA", help=f"one of {', '.join(AREAS)}; all by default")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--quick", action="store_true", help="smaller sizes, for a first look")
+    parser.add_argument("--quick", action="store_true", help="smaller sizes, for a quick check")
     parser.add_argument("--folder", type=Path, default=Path("measure-results"))
     options = parser.parse_args()
     measurements: list[Measurement] = []
--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -1,8 +1,8 @@
-"""Measures the agreement: rates, elections, catch-up, restarts, memory and spread of changes.
+"""Measures consensus: rates, elections, catch-up, restarts, memory and propagation of changes.
 
-Members run as tasks of this process over a transport that only delivers, with real files and syncs, so the
-figures hold for the protocol and the disk and not for capnp or the network. The changes of the rates are key
-grants without a document in force, which the state refuses and remembers.
+Members run as tasks of this process over an in-memory transport, with real files and fsyncs, so the results cover
+the protocol and the disk but not capnp or the network. The rates are measured with key grants without an active
+document, which the state rejects and records.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures the agreement."""
+    """Measures consensus, propagation of changes and memory of the state."""
     measurement = Measurement(area="agreement")
     parts: list[Callable[..., Awaitable[None]]] = [
         _measure_rates,
@@ -81,7 +81,7 @@
     for _ in range(5 if quick else 20):
         leader = group.leader()
         if leader is None:
-            raise RuntimeError("no leader to stop")
+            raise RuntimeError("the group has no leader to stop")
         name = leader.member.daemon
         started = time.monotonic()
         await group.stop(name)
@@ -106,7 +106,7 @@
         started = time.monotonic()
         group.start(name)
         if not await group.nodes[name].replica.wait_beyond(wanted - 1, timeout_s=WAIT_S):
-            raise TimeoutError(f"{missed} missed changes were not caught up")
+            raise TimeoutError(f"restarted member did not catch up {missed} changes within {WAIT_S:g} s")
         points.append((float(missed), time.monotonic() - started))
         measurement.figures[f"catch-up after {missed} changes s"] = points[-1][1]
     measurement.series.append(
@@ -163,7 +163,7 @@
             break
         await asyncio.sleep(0.01)
     for start in range(0, changes, 1000):
-        # A restart is measured after single changes; here they are only needed on disk.
+        # Batches only speed up filling the log; each change is still a log entry of its own on disk.
         batch = range(start, min(start + 1000, changes))
         await asyncio.gather(*(member.propose(data=grant_key(number), timeout_s=WAIT_S) for number in batch))
     for task in tasks:
--- a/src/hyssopway_standins/measure/capacity.py
+++ b/src/hyssopway_standins/measure/capacity.py
@@ -1,4 +1,4 @@
-"""Works out docs/CAPACITY.md: ``python -m hyssopway_standins.measure.capacity``."""
+"""Generates docs/CAPACITY.md: ``python -m hyssopway_standins.measure.capacity``."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 RESULTS = Path("measure-results/results.json")
 PAGE = Path("docs/CAPACITY.md")
 
-# Ended jobs that a region keeps, and what one record takes; see control/apply/jobs.py.
+# Number of ended jobs that a region keeps, and memory of one record; see control/apply/jobs.py.
 ENDED_JOBS = 10_000
 JOB_KB = 1.5
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CapacityEstimate:
-    """Figures at the target, worked out from slopes.
+    """Estimates at the target scale, extrapolated from measured slopes.
 
     Attributes:
-        figures: Measured figures by area and name.
-        target: Size and bounds.
-        entry_workers: Workers whose home is one entry VM of the largest region.
-        entry_core: Processor part that their syncs take on it.
+        figures: Measured values by area and name.
+        target: Target scale and limits.
+        entry_workers: Number of workers whose home is one entry VM of the largest region.
+        entry_core: Fraction of a core that the syncs of these workers use on the entry VM.
         entry_memory_mb: Resident memory of an entry daemon.
-        state_mb: Agreed state of the largest region.
+        state_mb: Memory of the replicated state of the largest region.
         log_entries: Log entries a second of the largest region.
-        log_limit: Log entries a second that one group was measured to take with 8 writers.
-        worker_core: Processor part on a worker's node.
-        worker_bytes: Bytes a second of a worker's node.
-        rack_vms: VMs that a wave must maintain an hour in all regions.
+        log_limit: Measured log entries a second of one group with 8 writers.
+        worker_core: Fraction of a core that is used on the node of a worker.
+        worker_bytes: Network traffic of the node of a worker, in bytes a second.
+        maintained_vms_per_h: VMs that maintenance waves must complete in an hour in all regions.
     """
 
     figures: dict[str, dict[str, float]]
@@ -53,7 +53,7 @@
 
 
 def estimate_capacity(figures: dict[str, dict[str, float]], *, target: Target) -> CapacityEstimate:
-    """Works out the figures at the target."""
+    """Extrapolates the measured values to the target scale."""
     nodes, agreement = figures["nodes"], figures["agreement"]
     entry_workers = target.region_workers / target.region_vms
     jobs_kb = (ENDED_JOBS + target.region_workers) * JOB_KB
@@ -77,7 +77,7 @@
 
 
 def main() -> int:
-    """Reads the results of `make measure` and writes the page."""
+    """Reads the results of `make measure`, writes the page and returns the exit status."""
     parser = argparse.ArgumentParser(prog="capacity")
     parser.add_argument("--results", type=Path, default=RESULTS)
     parser.add_argument("--page", type=Path, default=PAGE)
--- a/src/hyssopway_standins/measure/capacity_page.py
+++ b/src/hyssopway_standins/measure/capacity_page.py
@@ -1,4 +1,4 @@
-"""Text of docs/CAPACITY.md."""
+"""Renders docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def render_page(capacity: CapacityEstimate, *, origin: dict[str, Any]) -> str:
-    """Returns the page."""
+    """Returns the page as Markdown."""
     parts = [
         _head(capacity, origin=origin),
         _verdicts(capacity),
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -1,7 +1,7 @@
-"""What the decisions of a leader cost against the size of the fleet.
+"""Measures the CPU cost of a leader's decisions by fleet size.
 
-Runs the real dispatcher, pool sizes and links of the platform's programs over agreed state in memory, with VMs that
-accept everything. Times are processor time of this process, so other work on the machine hardly changes them.
+Runs the real dispatcher, pool measurement and VM links over a replicated state in memory, with VMs that accept
+every order. Times are CPU time of this process, which other load on the machine affects little.
 """
 
 from __future__ import annotations
@@ -49,15 +49,15 @@
 CORES_A_VM = 64
 TASKS_A_WORKFLOW = 8
 CORES_A_TASK = 8
-# Share of the fleet's cores that runs before a round is measured.
+# Share of the cores of the fleet that is in use before a round is measured.
 BUSY_SHARE = 0.5
-# Starts of the round that is measured.
+# Tasks submitted for the measured round.
 ROUND_STARTS = 200
 REPEATS = 5
 
 
 class InMemoryLeadership:
-    """A term whose commands apply at once."""
+    """Leadership whose commands apply immediately, without a log."""
 
     def __init__(self) -> None:
         self.state = WorkflowState()
@@ -67,7 +67,7 @@
         self.now = 0.0
 
     def clock(self) -> float:
-        """Returns the time of the measurement."""
+        """Returns the fake local time."""
         return self.now
 
     def may_order(self) -> bool:
@@ -75,18 +75,18 @@
         return True
 
     async def propose(self, command: Command) -> None:
-        """Applies a command, encoded as in the log."""
+        """Applies a command in the encoding of the log."""
         self.state.apply(index=self.state.applied_index + 1, data=encode_command(command))
 
 
 class AcceptingVms:
-    """VMs that accept every order and list what runs."""
+    """VMs that accept every order and list their runs."""
 
     def __init__(self) -> None:
         self.listed_runs: dict[str, list[ListedRun]] = {}
 
     async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
-        """Lists the runs of a VM."""
+        """Returns the runs of a VM."""
         running = tuple(self.listed_runs.get(vm.vm_id, ()))
         return PollReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_complete=True)
 
@@ -98,13 +98,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Processor time of one size, in milliseconds.
+    """CPU time at one fleet size, in milliseconds.
 
     Attributes:
         vms: Number of VMs.
-        start_ms: A start, from the placement to the answer of the VM.
-        empty_round_ms: A round with nothing to do.
-        look_ms: A look at a VM with nothing new.
+        start_ms: One start, from its placement to the response of the VM.
+        empty_round_ms: One scheduling round with no work.
+        look_ms: One poll of a VM without changes. The field name is a key of the results.
         pools_ms: One measurement of all pools and their demand.
     """
 
@@ -116,7 +116,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures the costs at several sizes; nothing in it is random, so the seed changes nothing."""
+    """Measures the costs at several sizes; the measurement is deterministic and ignores the seed."""
     costs = [asyncio.run(_measure_size(vms)) for vms in (QUICK_SIZES if quick else SIZES)]
     figures: dict[str, float] = {}
     series: list[Series] = []
@@ -130,7 +130,7 @@
 
 
 def growth_exponent(points: list[tuple[float, float]]) -> float:
-    """Returns the slope of the line through the logarithms; 1 is a cost that grows with the fleet."""
+    """Returns the slope of a line through the logarithms: 0 for a constant cost, 1 for a linear one."""
     x, y = np.log(np.array(points, dtype=float)).T
     return float(np.polyfit(x, y, 1)[0])
 
@@ -165,7 +165,7 @@
     running = len(leadership.state.tables.runs)
     before = time.process_time()
     await _run_round(dispatcher)
-    # A small fleet has no room for all of them.
+    # A small fleet does not have capacity for all submitted tasks, so only the actual starts are counted.
     start_ms = (time.process_time() - before) * 1000 / (len(leadership.state.tables.runs) - running)
     return Cost(
         vms=vms,
@@ -177,7 +177,7 @@
 
 
 async def _time(work: Callable[[], Any]) -> float:
-    """Returns the least processor time of some repeats, in milliseconds."""
+    """Returns the shortest CPU time of several repeats, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         before = time.process_time()
--- a/src/hyssopway_standins/measure/first_fit.py
+++ b/src/hyssopway_standins/measure/first_fit.py
@@ -1,4 +1,4 @@
-"""Plain baseline of the job measurements: first come, first served, first fit."""
+"""Baseline scheduler of the job measurements: first come, first served, first fit."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 @dataclass(slots=True, kw_only=True)
 class FirstFitScheduler:
-    """Starts the oldest job on the first VM with room; knows no shares, estimates or quarantine.
+    """Starts the oldest job on the first VM with enough free resources.
+
+    Has no shares, estimates or quarantine.
 
     Attributes:
-        world: The fleet.
-        used: What runs on each VM; recomputed in each round.
+        simulation: Simulated fleet.
+        used: Resources in use by VM; recomputed in each round.
     """
 
     simulation: JobSimulation
@@ -32,7 +34,7 @@
             await self.simulation.submit(start)
 
     def count_usage(self) -> None:
-        """Computes what runs on each VM."""
+        """Recomputes the resources in use on each VM."""
         state = self.simulation.replica.state
         self.used = {}
         for vm, job_ids in state.indexes.running.items():
@@ -40,7 +42,7 @@
                 self.used[vm] = self.used.get(vm, Resources()) + state.tables.jobs[job_id].spec.resources
 
     def plan(self) -> list[StartRun]:
-        """Returns the starts of one round; a job that fits nowhere holds up those behind it."""
+        """Returns the starts of one round; a job that fits on no VM blocks the jobs behind it."""
         state = self.simulation.replica.state
         starts: list[StartRun] = []
         for job in state.indexes.pending.values():
--- a/src/hyssopway_standins/measure/fit.py
+++ b/src/hyssopway_standins/measure/fit.py
@@ -1,4 +1,4 @@
-"""Straight line through measured points."""
+"""Linear regression over measured points."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     """A line ``base + slope * x``.
 
     Attributes:
-        base: Value at 0.
-        slope: Increase for each unit of x.
-        error: Largest distance of a point from the line, as a part of the largest value.
+        base: Value at x = 0.
+        slope: Increase per unit of x.
+        error: Largest distance of a point from the line, as a fraction of the largest value.
     """
 
     base: float
@@ -26,7 +26,7 @@
     error: float
 
     def at(self, x: float) -> float:
-        """Returns the value of the line."""
+        """Returns the value of the line at x."""
         return self.base + self.slope * x
 
 
--- a/src/hyssopway_standins/measure/fleet.py
+++ b/src/hyssopway_standins/measure/fleet.py
@@ -1,4 +1,4 @@
-"""Measures fleet decisions beside plain baselines, with a fake clock and no processes."""
+"""Measures fleet decisions against baselines, with a fake clock and without processes."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 ROUND_S = 5.0
 PEAK_FACTOR = 5.0
 LOW_FACTOR = 0.05
-# Part of a pool's work that a spare VM can run as tasks and give up at once by a checkpoint.
+# Fraction of the work of a pool that spare VMs can run as tasks and release immediately by a checkpoint.
 CHECKPOINTABLE = {"tasks_10": 0.10, "tasks_25": 0.25, "tasks_50": 0.50}
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures waves, zone changes, buffers and the cost of decisions."""
+    """Measures waves, zone changes, buffer policies and the cost of decisions."""
     figures: dict[str, float] = {}
     for deployment in DEPLOYMENTS:
         figures |= _measure_wave(deployment, seed=seed)
@@ -84,7 +84,7 @@
 
 
 def _measure_wave(deployment: str, *, seed: int) -> dict[str, float]:
-    """Runs a wave with five faults, and one VM after another with the same faults."""
+    """Runs a wave with five faults, and the baseline of one VM at a time with the same faults."""
     figures: dict[str, float] = {}
     for name, one_at_a_time in (("wave", False), ("one_by_one", True)):
         driver = WaveDriver(
@@ -113,7 +113,7 @@
 
 
 def _resume(wave: Wave) -> ControlWave:
-    """Stands in for an operator who resumes at once."""
+    """Returns the command of an operator who resumes a paused wave immediately."""
     return ControlWave(
         request_id=f"{wave.wave_id}-{wave.epoch}-resume",
         operator="operator",
@@ -124,7 +124,7 @@
 
 
 def _inject_faults(driver: WaveDriver, *, failing: list[str], number: int) -> None:
-    """Injects a failure, a quarantine, a VM that does not return, a new leader and an older one."""
+    """Injects a failed VM, a quarantine, a VM that does not return, a new leader and a former leader."""
     down, quarantined, lost = failing
     match number:
         case 20:
@@ -145,7 +145,7 @@
 
 
 def _measure_zone(deployment: str, *, seed: int) -> dict[str, float]:
-    """Withdraws and returns a zone at a demand of 0.8 of each pool, with failures mixed in."""
+    """Withdraws and restores a zone at a load of 80 % of each pool, with failures of VMs."""
     driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example(deployment))
     rng = random.Random(seed)
     zone = rng.choice(sorted(driver.state_machine.state.tables.zones))
@@ -191,7 +191,7 @@
 
 
 def _is_changing(driver: WaveDriver, *, zone: str) -> bool:
-    """Tells whether a zone is still on its way back, borrowed VMs included."""
+    """Tells whether a zone is not open yet or VMs borrowed for its withdrawal are not back."""
     tables = driver.state_machine.state.tables
     status = tables.zones[zone].status
     return status is not ZoneStatus.OPEN or any(
@@ -200,7 +200,7 @@
 
 
 def _count_ready(driver: WaveDriver, *, outside: str, borrowed: bool = True) -> dict[str, int]:
-    """Counts the VMs by pool that may take work."""
+    """Counts the ready VMs of each pool that is not spare, without those of the zone `outside`."""
     state = driver.state_machine.state
     document = state.document()
     ready = {pool.name: 0 for pool in document.pools if not pool.spare} if document else {}
@@ -212,13 +212,14 @@
 
 
 def _measure_buffer(deployment: str, *, buffer: str, seed: int, rounds: int) -> dict[str, float]:
-    """Gives each pool in turn a peak and counts idle spare VMs, moves and work done.
-
-    `none` leaves the spare VMs idle. `fixed` divides the spare VMs among the pools for good; `fixed_without_failures` does so with spare VMs
-    that never fail. `shared` lends only what the buffer policy does not need, `lent` lends all, `at_once`
-    lends all without smoothing and `no_drain` also with drains of no time. The ways called
-    `tasks` move no VM: spare VMs run the checkpointable part of other pools' work, without cost for its
-    start and its checkpoint, so their figures are upper bounds.
+    """Gives each pool in turn a load peak and measures idle spare VMs, moves and work done.
+
+    `none` leaves the spare VMs idle. `fixed` divides them among the pools permanently, and
+    `fixed_without_failures` does so with spare VMs that never fail. `shared` lends only the VMs that the buffer
+    policy does not need, `lent` lends all of them, `at_once` lends all without smoothing of the demand, and
+    `no_drain` also with drains that take no time. The `tasks` variants move no VM: spare VMs run the
+    checkpointable part of the work of other pools. They ignore the cost of starts and checkpoints, so their
+    results are upper bounds.
     """
     driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example(deployment))
     driver.drain_ms = 0 if buffer == "no_drain" else driver.drain_ms
@@ -231,7 +232,7 @@
     wanted = served = idle_s = moves = 0.0
     failing = ""
     for number in range(rounds):
-        # A peak lasts 60 s; five faults or more, one VM each, fall into every run.
+        # A peak lasts 60 s. Every run has at least five faults of one VM each.
         peak = sorted(pools)[number // 12 % len(pools)]
         demand = {
             pool: size * 0.4 * (PEAK_FACTOR if pool == peak else rng.choice((LOW_FACTOR, 1.0)))
@@ -257,7 +258,7 @@
             for command in decide_lending(driver.state_machine.state, demand=smoothed):
                 moves += driver.state_machine.apply(command).failure is None
         work = {pool: min(demand[pool], ready[pool]) for pool in pools}
-        # VMs that the pools would have without any spare are no buffer.
+        # Only work beyond the own VMs of a pool uses the buffer.
         used = sum(max(0.0, work[pool] - pools[pool]) for pool in pools)
         idle_s += max(0.0, spares - used) * ROUND_S
         wanted += sum(demand.values())
@@ -272,7 +273,7 @@
 
 
 def _count_ready_spares(driver: WaveDriver) -> int:
-    """Counts the spare VMs that may take work."""
+    """Counts the ready spare VMs."""
     state = driver.state_machine.state
     document = state.document()
     spare = {pool.name for pool in document.pools if pool.spare} if document else set()
@@ -282,7 +283,7 @@
 def _lend_tasks(
     ready: dict[str, float], *, demand: dict[str, float], spares: float, part: float
 ) -> dict[str, float]:
-    """Gives the spare VMs to the pools with the most waiting work that can be checkpointed."""
+    """Assigns spare VMs to the pools with the most waiting work, up to their checkpointable part."""
     lent = dict(ready)
     for pool in sorted(ready, key=lambda name: ready[name] - demand[name]):
         given = min(spares, max(0.0, demand[pool] - ready[pool]), demand[pool] * part)
@@ -292,7 +293,7 @@
 
 
 def _measure_scale(*, sizes: tuple[int, ...]) -> Iterator[tuple[int, float, float, float]]:
-    """Yields size, wave rounds a second, memory of the agreed state in MB and ms of a controller round."""
+    """Yields size, wave rounds a second, memory of the replicated state in MB and controller round in ms."""
     for size in sizes:
         tracemalloc.start()
         driver = WaveDriver(state_machine=StateMachineStandIn.prepare_example("pantry"))
@@ -316,13 +317,13 @@
 
 
 def _time_round(driver: WaveDriver, *, zone: str) -> float:
-    """Returns the longest of five controller rounds in ms, with a wave and a withdrawn zone at once.
+    """Returns the longest of five controller rounds in ms, with a wave and a withdrawn zone.
 
-    Every proposal is refused, so the figure holds no agreement and each round decides the same again.
+    Every proposal is rejected, so the time excludes consensus and each round makes the same decisions.
     """
 
     async def refuse(*_: Any, **__: Any) -> Result[Outcome, Failure]:
-        return Error(Failure(code=ResultCode.NOT_LEADER, message="measured without a group"))
+        return Error(Failure(code=ResultCode.NOT_LEADER, message="measurement without a consensus group"))
 
     driver.state_machine.apply(
         SetZone(zone=zone, status=ZoneStatus.WITHDRAWN, request_id="measure", operator="operator")
--- a/src/hyssopway_standins/measure/job_simulation.py
+++ b/src/hyssopway_standins/measure/job_simulation.py
@@ -1,4 +1,4 @@
-"""A fleet in one process for measurements of the job scheduler, with time that steps."""
+"""Simulation of a fleet in one process, with a stepped clock, for measurements of the job scheduler."""
 
 from __future__ import annotations
 
@@ -32,22 +32,22 @@
 STEP_S = 0.05
 CAPACITY = Resources(cores=64, memory_gb=128)
 
-# An order waits for a sync of 0.5 s, and so does the report of the end.
+# The stop order and the report of the end each wait up to 0.5 s for the next sync.
 RECLAIM_S = 1.0
 
 
 @dataclass(slots=True, kw_only=True)
 class JobSimulation:
-    """Agreed state, workers that end tasks, and a scheduler.
+    """Replicated state with simulated workers, which a scheduler under measurement drives.
 
     Attributes:
         weights: Weight of each team.
-        run_s: Real run time of a job.
-        fails: Whether a run on a VM fails, which takes 0.1 s.
-        replica: Agreed state.
-        now: Simulated seconds.
-        ends: Time, job and epoch of ends to come.
-        outcomes: Ends of runs: VM and outcome.
+        run_s: Returns the actual run time of a job.
+        fails: Tells whether runs on a VM fail; a failing run takes 0.1 s.
+        replica: Replicated state.
+        now: Simulated time in seconds.
+        ends: Heap of time, job and epoch of future ends.
+        outcomes: VM and outcome of each ended run.
     """
 
     weights: dict[str, float]
@@ -59,7 +59,7 @@
     outcomes: list[tuple[str, RunOutcome]] = field(default_factory=list)
 
     def prepare(self, *, vms: int) -> None:
-        """Puts a document in force, grants keys and registers VMs over 4 zones with racks of 16."""
+        """Activates a document, grants keys and registers VMs in 4 zones with 16 VMs per rack."""
         limit = "{cores: 9000000, memory_gb: 9000000, accelerators: 0}"
         teams = "\n".join(
             f"  - {{name: {team}, share: {weight}, max_running: 1000000, limit: {limit}}}"
@@ -80,7 +80,7 @@
             self.apply(command)
 
     def activate_document(self, text: str) -> None:
-        """Tries and promotes a document, and grants a key to each team."""
+        """Runs a document in trial, promotes it and grants a key to each team."""
         tried = self.apply(TrialDocument(text=text, expected_generation=0, request_id="t", operator="o"))
         self.apply(
             PromoteDocument(digest=tried.reference, expected_generation=0, request_id="p", operator="o")
@@ -90,7 +90,7 @@
             self.apply(key)
 
     def scheduler(self) -> JobScheduler:
-        """Returns a scheduler that leads."""
+        """Returns a new scheduler that acts as the leader."""
         return JobScheduler(
             replica=self.replica,
             submitter=self,  # type: ignore[arg-type]
@@ -114,7 +114,7 @@
         return self.replica.apply(index=self.replica.applied_index + 1, data=data)
 
     async def submit(self, command: Command, *, timeout_s: float = 5.0) -> Result[Outcome, Failure]:
-        """Applies a command and plans what workers do with it."""
+        """Applies a command and schedules the end of the run that it starts or reclaims."""
         outcome = self.apply(command)
         if outcome.failure:
             return Error(outcome.failure)
@@ -142,7 +142,7 @@
         self.apply(AcceptJob(job_id=job_id, key_id=team, team=team, spec=spec))
 
     def step(self) -> None:
-        """Moves time by a step and reports the runs that ended."""
+        """Advances the clock by a step and reports the runs that ended."""
         self.now += STEP_S
         while self.ends and self.ends[0][0] <= self.now:
             _, job_id, epoch = heapq.heappop(self.ends)
--- a/src/hyssopway_standins/measure/jobs.py
+++ b/src/hyssopway_standins/measure/jobs.py
@@ -1,7 +1,7 @@
-"""Measures the path of a job beside a plain baseline.
+"""Measures scheduling of jobs against a first-fit baseline.
 
-Shares, the bad worker and the cost of decisions and cancellations are measured on one process whose time
-steps; the start of urgent work is measured with daemons as processes and counted at the workers.
+Shares, failing workers and the cost of decisions and cancellations are measured in a simulation in one process. The
+start of urgent work is measured with daemon processes, at the workers.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures all figures of jobs."""
+    """Measures shares, decisions, failing workers, cancellations and starts."""
     measurement = Measurement(area="jobs")
     logger.disable("hyssopway.event")
     asyncio.run(_measure_shares(measurement, seed=seed))
@@ -66,7 +66,7 @@
         )
         points = []
         for step in range(round(30 / STEP_S)):
-            # Team four begins when the others have filled the fleet.
+            # Team four starts after the other teams have filled the fleet.
             asking = [team for team in WEIGHTS if team != "four" or simulation.now >= 8]
             _keep_jobs_pending(simulation, teams=asking, step=step)
             await rounds.schedule_once()
@@ -90,7 +90,7 @@
 
 
 def _keep_jobs_pending(simulation: JobSimulation, *, teams: list[str], step: int) -> None:
-    """Keeps 64 jobs of each team waiting, which is a quarter of the fleet."""
+    """Keeps 64 jobs of each team pending, which is a quarter of the fleet."""
     waiting = dict.fromkeys(teams, 0)
     for job in simulation.replica.state.indexes.pending.values():
         waiting[job.team] = waiting.get(job.team, 0) + 1
@@ -100,7 +100,7 @@
 
 
 def _share_distance(simulation: JobSimulation) -> float:
-    """Returns half the sum of the differences between held and fair parts."""
+    """Returns half the sum of the differences between the actual and the fair shares."""
     state = simulation.replica.state
     vms = len(state.tables.vms)
     total = Resources(cores=CAPACITY.cores * vms, memory_gb=CAPACITY.memory_gb * vms)
@@ -117,7 +117,7 @@
     for size in sizes:
         simulation = JobSimulation(weights=WEIGHTS, run_s=lambda _: 1e9)
         simulation.prepare(vms=size)
-        # The last tenth of the VMs is empty and the rest is full.
+        # 90 % of the VMs are full and the last 10 % are empty.
         for number in range(size * 9 // 10):
             simulation.accept(f"full-{number}", team="one", need=CAPACITY)
             start = StartRun(job_id=f"full-{number}", epoch=1, vm=f"vm{number:05}", vm_epoch=1, reason="fill")
@@ -129,7 +129,7 @@
         first_fit.count_usage()
         costs["baseline"].append(_time_decisions(first_fit.plan, rounds=1))
         planner = simulation.scheduler().planner
-        # A new leader looks at everything once and builds the trees; decisions are timed after that.
+        # The first refresh of a new leader reads the whole state and builds its index; it is timed separately.
         started = time.perf_counter()
         planner.refresh(state=simulation.replica.state, now_ms=0)
         planner.view.find(pool="p", need=TINY)
@@ -193,7 +193,7 @@
         ids = [f"j{number}" for number in range(count)]
         for job_id in ids:
             simulation.accept(job_id, team="one", need=EIGHT_CORES)
-        # Records of the measurements before are not collected on the account of this one.
+        # Collects the garbage of earlier measurements, so that it is not timed here.
         gc.collect()
         started = time.perf_counter()
         if name == "batch":
@@ -206,7 +206,7 @@
 
 
 async def _measure_urgent(measurement: Measurement, *, count: int) -> None:
-    """Fills a pool with long tasks and times urgent jobs from their submission to their start."""
+    """Fills a pool with long tasks and measures the time from submission to start of urgent jobs."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name="pantry", folder=Path(folder))
         deployment.start()
@@ -229,7 +229,7 @@
 async def _measure_starts(
     measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
-    """Times jobs on a fleet with room from their acceptance to their start."""
+    """Measures the time from acceptance to start of jobs in a pool with free capacity."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
     workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "pickup"]
     async with aiohttp.ClientSession() as session:
@@ -239,7 +239,7 @@
         entries = [TeamClient(session=session, url=url, key=key) for url in urls]
         await _wait_for(lambda: all(worker.lease_expires_at for worker in workers))
         accepted: dict[str, float] = {}
-        # 20 jobs a second of 0.5 s each hold about ten cores.
+        # 20 jobs a second of 0.5 s each use about ten cores.
         for number in range(count):
             entry = entries[number % len(entries)]
             job_id = await entry.submit(cores=1, urgent=False, pool="pickup", run_s=50)
@@ -255,7 +255,7 @@
 async def _measure_burst(
     measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
-    """Submits from 64 callers at once over all entry VMs, then cancels everything in one request."""
+    """Submits jobs from 64 concurrent callers over all entry VMs, then cancels all in one request."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
     workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "matching"]
     async with aiohttp.ClientSession() as session:
@@ -288,7 +288,7 @@
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
         teams = TeamClient(session=session, url=url, key=await operator.grant_key("granite-hearth"))
         workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "restock"]
-        # Tasks of 60,000 s are cut to 600 s by the time scale; they outlast the measurement.
+        # The time scale shortens tasks of 60,000 s to 600 s, which is longer than the measurement.
         for _ in workers:
             await teams.submit(cores=64, urgent=False)
         await _wait_for(lambda: sum(len(worker.tasks) for worker in workers) == len(workers))
@@ -302,11 +302,11 @@
 
 
 class TeamClient:
-    """Submits jobs of one team.
+    """Submits and cancels jobs of one team.
 
     Attributes:
         session: HTTP client.
-        url: Entry VM.
+        url: Base URL of the entry VM.
         key: Key of the team.
     """
 
@@ -316,7 +316,7 @@
         self.key = key
 
     async def submit(self, *, cores: int, urgent: bool, pool: str = "restock", run_s: float = 60_000) -> str:
-        """Submits a job and returns its id."""
+        """Submits a job, with retries for 10 s, and returns its ID."""
         spec = {
             "task_kind": "urgent" if urgent else f"of-{run_s:g}-s",
             "pool": pool,
@@ -333,7 +333,7 @@
                 if answer.status == 202:
                     return str(body["job_id"])
             if time.monotonic() > deadline:
-                raise TimeoutError(f"job was not accepted: {body}")
+                raise TimeoutError(f"job was not accepted within 10 s: {body}")
             await asyncio.sleep(0.05)
 
     async def cancel(self, ids: list[str]) -> None:
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -1,4 +1,4 @@
-"""A group of members as tasks of one process, with real files and a transport that only delivers."""
+"""A consensus group in one process, with real files and an in-memory transport."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class LocalTransport:
-    """Delivers messages to running members."""
+    """Transport that calls the handlers of running members directly."""
 
     __slots__ = ("nodes",)
 
@@ -76,7 +76,7 @@
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[GroupNode], Any]) -> Any:
         node = self.nodes.get(daemon)
         if node is None:
-            raise ConnectionError(f"{daemon} does not run")
+            raise ConnectionError(f"member {daemon} is not running")
         async with asyncio.timeout(timeout_s):
             return await run_to_completion(answer(node))
 
@@ -93,7 +93,7 @@
         self.next_key = 0
 
     def start(self, *names: str) -> None:
-        """Starts members."""
+        """Starts the named members."""
         initial = Configuration(voters=tuple(f"{name}/0" for name in NAMES))
         for name in names:
             replica = Replica()
@@ -111,7 +111,7 @@
             ]
 
     async def stop(self, *names: str) -> None:
-        """Stops members; all without names."""
+        """Stops the named members, or all members when no name is given."""
         for name in names or tuple(self.nodes):
             node = self.nodes.pop(name)
             for task in node.tasks:
@@ -127,7 +127,11 @@
         return max(leaders, key=lambda node: node.member.term, default=None)
 
     async def write(self) -> None:
-        """Proposes a new key until it is acknowledged."""
+        """Proposes a key grant and retries it until it is committed.
+
+        Raises:
+            TimeoutError: No leader accepted the change in time.
+        """
         self.next_key += 1
         data = grant_key(self.next_key)
         deadline = time.monotonic() + WAIT_S
@@ -136,10 +140,10 @@
             if leader is not None and (await leader.member.propose(data=data, timeout_s=2.0)).is_ok():
                 return
             await asyncio.sleep(0.005)
-        raise TimeoutError("no change was accepted")
+        raise TimeoutError(f"no change was accepted within {WAIT_S:g} s")
 
     async def write_many(self, *, count: int, writers: int) -> None:
-        """Writes `count` changes with that many writers at once."""
+        """Writes `count` changes with `writers` concurrent writers."""
         left = iter(range(count))
 
         async def work() -> None:
@@ -150,8 +154,8 @@
 
 
 def grant_key(number: int) -> bytes:
-    """Encodes a change of the size that operators make."""
-    # Keys repeat, so that the state has a steady size and the log alone grows.
+    """Returns an encoded key grant, a change of the size that operators make."""
+    # Key IDs repeat, so the size of the state stays constant while the log grows.
     key_id = f"k{number % STATE_KEYS}"
     command = GrantKey(
         key_id=key_id, key_hash="0" * 64, team="team", request_id=f"r{number}", operator="operator"
--- a/src/hyssopway_standins/measure/measurement.py
+++ b/src/hyssopway_standins/measure/measurement.py
@@ -10,10 +10,10 @@
     """A line of a plot.
 
     Attributes:
-        name: What is shown.
-        x_label: Meaning and unit of the first values.
-        y_label: Meaning and unit of the second values.
-        points: Pairs of values.
+        name: Label of the line.
+        x_label: Quantity and unit of the x axis.
+        y_label: Quantity and unit of the y axis.
+        points: Pairs of x and y.
     """
 
     name: str
@@ -24,12 +24,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Measurement:
-    """Figures and plots of one area.
+    """Measured values and plots of one area.
 
     Attributes:
-        area: Area, such as ``agreement``.
-        figures: Figures by name; names end in their unit.
-        series: Lines to plot, those with equal labels in one plot.
+        area: Name of the area, such as ``agreement``.
+        figures: Measured values by name; a name ends in its unit.
+        series: Lines to plot; lines with equal axis labels share a plot.
     """
 
     area: str
--- a/src/hyssopway_standins/measure/nodes.py
+++ b/src/hyssopway_standins/measure/nodes.py
@@ -1,4 +1,4 @@
-"""What control costs a worker's node and an entry VM, against the number of workers."""
+"""Measures CPU, memory and traffic of daemons and worker nodes by the number of workers."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Cost of all daemons together in one window.
+    """Resource use of all daemons in one measurement window.
 
     Attributes:
-        cpu: Processor seconds a second.
+        cpu: CPU seconds a second of all daemons.
         largest_rss_mb: Resident memory of the largest daemon.
-        workers_cpu: Processor seconds a second of this process, which plays the workers.
+        workers_cpu: CPU seconds a second of this process, which runs the simulated workers.
     """
 
     cpu: float
@@ -48,7 +48,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures processor time and memory of daemons, and bytes of a worker."""
+    """Measures CPU time and memory of the daemons, and the traffic of a worker."""
     return asyncio.run(_measure(sizes=QUICK_SIZES if quick else SIZES))
 
 
@@ -150,7 +150,7 @@
 
 
 async def _bytes_per_sync(deployment: Deployment, *, worker: WorkerStandIn) -> tuple[int, int]:
-    """Counts the bytes of one sync of a busy worker on the wire, without TCP and IP headers."""
+    """Returns the bytes sent and received in one sync, without TCP and IP headers."""
     body = to_json(worker.build_sync_request())
     url = worker.entries[0]
     host, port = url.removeprefix("http://").split(":")
--- a/src/hyssopway_standins/measure/propagation.py
+++ b/src/hyssopway_standins/measure/propagation.py
@@ -1,4 +1,4 @@
-"""Measures how fast changes reach daemon processes and followers without a disk, and what a follower costs."""
+"""Measures how fast changes reach daemons and diskless followers, and the idle cost of a follower."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 FOLLOWERS = 60
 PROCESSES = 3
-# Time in which the processes of followers start and read the state.
+# Time for the follower processes to start and to read the state.
 SETTLE_S = 4.0
 PAUSE_S = 0.05
 FOLLOWER = "follower"
@@ -40,13 +40,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class FollowerPlan:
-    """What one process of followers does.
+    """Work of one follower process.
 
     Attributes:
-        settings_path: Settings with the addresses of the daemons.
-        upstreams: For each follower the daemon that it watches.
-        until: Monotonic time, the same for all processes of a machine, at which it ends.
-        idle_from: Monotonic time from which its processor time counts.
+        settings_path: Settings file with the addresses of the daemons.
+        upstreams: Daemon that each follower watches.
+        until: Monotonic time at which the process ends; this clock is shared by all processes of a machine.
+        idle_from: Monotonic time from which CPU time is counted.
     """
 
     settings_path: Path
@@ -56,7 +56,7 @@
 
 
 def measure_propagation(measurement: Measurement, *, quick: bool) -> None:
-    """Adds the spread over six daemon processes and 60 followers, and the idle cost of a follower."""
+    """Adds the propagation delay to six daemons and 60 followers, and the idle cost of a follower."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name="pantry", folder=Path(folder))
         deployment.start()
@@ -92,7 +92,7 @@
     one = next(iter(deployment.daemons.values()))
     settings = deepcopy(one.settings)
     settings.pop("data_dir", None)
-    # A follower listens nowhere; settings only ask for an address that no other daemon has.
+    # A follower opens no listener, but its settings need an address that differs from those of the daemons.
     own = {"name": FOLLOWER, "host": "127.0.0.1", "member": False}
     settings["peers"].append(one.own | own)
     settings["name"] = FOLLOWER
@@ -105,7 +105,7 @@
     operator: OperatorClient, *, path: Path, upstreams: list[str], changes: int
 ) -> list[float]:
     start = time.monotonic() + SETTLE_S
-    # Bounds the processes also when the changes are slow.
+    # Limits the run time of the follower processes when changes are slow.
     until = start + changes * (PAUSE_S + 0.05) + 1.0
     running = asyncio.gather(*_start_followers(path=path, upstreams=upstreams, until=until, idle_from=start))
     await asyncio.sleep(start - time.monotonic())
@@ -162,7 +162,7 @@
 
 
 def run_followers(plan: FollowerPlan) -> dict[str, Any]:
-    """Runs followers in this process; returns what each had applied when, and the processor time."""
+    """Runs followers in this process; returns the times and indexes that each applied, and the CPU time."""
     set_up_logging(level="WARNING", json_output=False)
     result: dict[str, Any] = asyncio.run(capnp.run(_follow_all(plan)))
     return result
--- a/src/hyssopway_standins/measure/report.py
+++ b/src/hyssopway_standins/measure/report.py
@@ -1,4 +1,4 @@
-"""Writes measurements as JSON and as a page with plots."""
+"""Writes measurements as JSON and as a Markdown page with plots."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     """Content of `results.json`.
 
     Attributes:
-        origin: Commit, machine and seed.
-        measurements: One for each area.
+        origin: Commit, machine and seed of the measurements.
+        measurements: One measurement for each area.
     """
 
     origin: dict[str, Any]
@@ -37,9 +37,9 @@
 
 
 def write_report(*, folder: Path, measurements: Sequence[Measurement], seed: int) -> None:
-    """Writes `results.json`, `report.md` and one plot for each pair of labels.
+    """Writes `results.json`, `report.md` and one plot for each pair of axis labels.
 
-    Other areas that were measured before with the same code, machine and seed are kept.
+    Keeps earlier results of other areas when their commit, machine and seed are the same.
     """
     folder.mkdir(parents=True, exist_ok=True)
     origin = {"commit": _commit(), "machine": f"{platform.machine()} {platform.processor()}", "seed": seed}
@@ -62,17 +62,17 @@
     try:
         results = _RESULTS.validate_json(path.read_bytes())
     except ValidationError as error:
-        print(f"{path} cannot be read and is replaced: {error.error_count()} errors", file=sys.stderr)
+        print(f"{path} is not valid and is replaced: {error.error_count()} errors", file=sys.stderr)
         return []
     if results.origin != origin:
         areas = ", ".join(one.area for one in results.measurements)
-        print(f"dropping {areas} of {results.origin}, this is {origin}", file=sys.stderr)
+        print(f"dropping results for {areas} from {results.origin}; this run is {origin}", file=sys.stderr)
         return []
     return results.measurements
 
 
 def _plot(*, folder: Path, measurement: Measurement) -> list[str]:
-    import matplotlib as mpl  # noqa: PLC0415  only needed here, and slow to import
+    import matplotlib as mpl  # noqa: PLC0415  slow to import
 
     mpl.use("Agg")
     from matplotlib import pyplot as plt  # noqa: PLC0415
--- a/src/hyssopway_standins/measure/requests.py
+++ b/src/hyssopway_standins/measure/requests.py
@@ -1,4 +1,4 @@
-"""Latency, rate and burst behaviour of callers' requests, each beside a plain proxy."""
+"""Measures latency, throughput and burst behaviour of requests against a baseline proxy."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 ENDPOINTS = 4
 SLOTS = 8
 BURST_SERVICE_S = 0.1
-# 5 times a mean demand of 60% of the slots.
+# A burst of 5 times a mean load of 60 % of the slots.
 BURST_FACTOR = 3.0
 BURST_TIMEOUT_S = 1.0
 CLIENTS = 3
-SETTLE_S = 3.5  # summaries, and the slow start of the endpoints
+SETTLE_S = 3.5  # covers the exchange of load reports and the slow start of the endpoints
 
 
 @dataclass(slots=True, kw_only=True)
 class BurstResult:
-    """What callers saw of a burst.
+    """Results of a burst at the callers.
 
     Attributes:
-        useful: Whole answers within the deadline of the caller, as long as the burst lasted.
-        refusals: Seconds to each refusal.
-        late: Requests that got neither in time.
-        by_second: Useful answers by second since the start.
+        useful: Number of complete responses within the timeout of the caller, while the burst lasted.
+        refusals: Time until each rejection, in seconds.
+        late: Number of requests with neither a response nor a rejection in time.
+        by_second: Successful responses by second since the start.
     """
 
     useful: int = 0
@@ -46,7 +46,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures on a deployment of processes on loopback."""
+    """Measures requests to a deployment of daemon processes on loopback."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name="pantry", folder=Path(folder))
         deployment.start()
--- a/src/hyssopway_standins/measure/requests_servers.py
+++ b/src/hyssopway_standins/measure/requests_servers.py
@@ -1,4 +1,4 @@
-"""Processes that the measurement of requests needs: endpoints, a plain proxy and clients."""
+"""Helper processes for the measurement of requests: endpoints, a baseline proxy and clients."""
 
 from __future__ import annotations
 
@@ -24,26 +24,26 @@
 
 @dataclass(slots=True, kw_only=True)
 class SlotEndpoint(EndpointStandIn):
-    """An endpoint whose slots are real: what exceeds them waits inside.
+    """An endpoint that enforces its slots: further requests wait for a free slot.
 
     Attributes:
-        gate: Its slots.
+        gate: Semaphore of the slots.
     """
 
     gate: asyncio.Semaphore = field(default_factory=lambda: asyncio.Semaphore(8))
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answers once a slot is free."""
+        """Handles the request when a slot is free."""
         async with self.gate:
             return await EndpointStandIn.handle(self, request)
 
 
 class HelperProcess:
-    """A process that reports one value and ends when told or after `LONGEST_S`.
+    """A process that reports one value and runs until `stop` or for at most `LONGEST_S`.
 
     Attributes:
-        process: The process.
-        pipe: Connection to it.
+        process: Helper process.
+        pipe: Connection to the process.
     """
 
     def __init__(self, target: Callable[..., None], *arguments: object) -> None:
@@ -52,20 +52,24 @@
         self.process.start()
 
     def receive(self) -> Any:
-        """Returns the value that it reports."""
+        """Returns the value that the process reports.
+
+        Raises:
+            TimeoutError: The process reported nothing in time.
+        """
         if not self.pipe.poll(LONGEST_S):
-            raise TimeoutError("a helper process reported nothing")
+            raise TimeoutError(f"helper process reported no value within {LONGEST_S:g} s")
         return self.pipe.recv()
 
     def stop(self) -> None:
-        """Ends it."""
+        """Terminates the process."""
         self.pipe.close()
         self.process.terminate()
         self.process.join(5)
 
 
 def serve_endpoints(pipe: Connection, options: list[dict[str, Any]]) -> None:
-    """Serves endpoints and reports their addresses."""
+    """Runs endpoints and reports their addresses."""
 
     async def run() -> None:
         endpoints = [SlotEndpoint(**item) for item in options]
@@ -78,7 +82,7 @@
 
 
 def serve_plain_proxy(pipe: Connection, addresses: list[str]) -> None:
-    """Baseline: passes requests on in turn, without credits, bounds or checks."""
+    """Runs a baseline proxy: round robin without credits, limits or checks."""
 
     async def run() -> None:
         turn = itertools.cycle(addresses)
@@ -103,7 +107,7 @@
 
 
 def run_client(pipe: Connection, url: str, at_once: int, seconds: float) -> None:
-    """Sends requests one after another on several connections and reports answers a second."""
+    """Sends requests one after another on several connections and reports responses a second."""
 
     async def run() -> None:
         async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
--- a/src/hyssopway_standins/measure/state_memory.py
+++ b/src/hyssopway_standins/measure/state_memory.py
@@ -1,4 +1,4 @@
-"""Measures the memory of the agreed state."""
+"""Measures the memory of the replicated state."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def measure_memory(measurement: Measurement, *, quick: bool) -> None:
-    """Adds the memory that a key and a VM take in the agreed state."""
+    """Adds the memory of a key and of a VM in the replicated state."""
     sizes = (300, 600, 1200) if quick else (1000, 3000, 9000)
     for name, make_command in (("key", grant_new_key), ("VM", register_vm)):
         points = [(float(count), _state_kb(make_command, count=count)) for count in sizes]
@@ -48,14 +48,14 @@
         data = encode_envelope(Envelope(at_ms=number, wall_ms=number, command=make_command(number)))
         outcome = state.apply(index=number, data=data)
         if outcome.failure is not None:
-            raise RuntimeError(f"change {number} was refused: {outcome.failure.message}")
+            raise RuntimeError(f"change {number} was rejected: {outcome.failure.message}")
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return size / 1000
 
 
 def grant_new_key(number: int) -> Command:
-    """Returns a grant of a key of its own."""
+    """Returns a command that grants the key with this number."""
     return GrantKey(
         key_id=f"k{number}",
         key_hash=f"{number:064x}",
@@ -66,7 +66,7 @@
 
 
 def register_vm(number: int) -> Command:
-    """Returns the registration of a worker VM of its own."""
+    """Returns a command that registers the VM with this number."""
     return RegisterVm(
         vm=f"vm-{number}",
         zone="Nashua",
--- a/src/hyssopway_standins/measure/target.py
+++ b/src/hyssopway_standins/measure/target.py
@@ -1,4 +1,4 @@
-"""Size that the system must reach with the present design."""
+"""Scale that the system must reach with the current design."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Target:
-    """Size of the whole system and its bounds.
+    """Target scale of the whole system and its limits.
 
     Attributes:
-        workers: Workers in all regions.
-        accelerators: Accelerators in all regions.
-        pools: Pools.
-        maintenance_period_s: Time in which every VM is maintained once.
-        teams: Teams with quotas.
-        urgent_start_s: Time until urgent work starts.
-        regions: Regions, each with a group of its own.
-        zones: Availability zones.
-        changes_a_day: Changes of configuration.
-        in_force_s: Time until a change is in force everywhere.
-        node_core: Part of a core that control may use on a node.
-        node_memory_mb: Memory that control may use on a node.
-        node_bytes_a_second: Bytes that control may move for a node.
-        control_vms: VMs set aside for control.
-        failures_a_day: VMs that fail.
-        restarts_a_day: VMs that are restarted or replaced.
-        run_s: Mean run time of a task; an assumption, the target names none.
-        skew: Size of the largest region against the mean; an assumption.
+        workers: Number of workers in all regions.
+        accelerators: Number of accelerators in all regions.
+        pools: Number of pools.
+        maintenance_period_s: Period in which every VM is maintained once.
+        teams: Number of teams with quotas.
+        urgent_start_s: Maximum time until urgent work starts.
+        regions: Number of regions, each with its own consensus group.
+        zones: Number of availability zones.
+        changes_a_day: Configuration changes a day.
+        activation_s: Maximum time until a change is active everywhere.
+        node_core: Fraction of a core that the control plane may use on a node.
+        node_memory_mb: Memory that the control plane may use on a node.
+        node_bytes_a_second: Network traffic that the control plane may cause for a node.
+        control_vms: Number of VMs reserved for the control plane.
+        failures_a_day: VMs that fail in a day.
+        restarts_a_day: VMs that are restarted or replaced in a day.
+        run_s: Mean run time of a task; an assumption, because the target does not define it.
+        skew: Ratio of the largest region to the mean region; an assumption.
     """
 
     workers: int = 21_000
@@ -51,22 +51,26 @@
 
     @property
     def region_workers(self) -> float:
-        """Workers of the largest region."""
+        """Number of workers in the largest region."""
         return self.workers / self.regions * self.skew
 
     @property
     def region_vms(self) -> float:
-        """Control VMs of a region."""
+        """Mean number of control VMs of a region."""
         return self.control_vms / self.regions
 
     @property
     def changes_a_second(self) -> float:
-        """Changes of configuration a second; they reach every region."""
+        """Configuration changes a second; each one reaches every region."""
         return self.changes_a_day / 86_400
 
     @property
     def region_log_entries_a_second(self) -> float:
-        """Entries of the log of the largest region: acceptance, start and end of each task, and the rest."""
+        """Log entries a second of the largest region.
+
+        Each task adds three: acceptance, start and end. Each VM that fails or restarts adds four, and each
+        configuration change one.
+        """
         tasks = self.region_workers / self.run_s
         daily = (self.failures_a_day + self.restarts_a_day) * self.skew / self.regions / 86_400
         return 3 * tasks + 4 * daily + self.changes_a_second
--- a/src/hyssopway_standins/measure/zone_work.py
+++ b/src/hyssopway_standins/measure/zone_work.py
@@ -1,4 +1,4 @@
-"""Measures the work done while a zone leaves and returns, through the real planner of jobs."""
+"""Measures the work done during the withdrawal and return of a zone, with the real job scheduler."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 TEAM = "one"
 NEED = Resources(cores=8, memory_gb=8)
-# Part of each pool's cores that is asked for; the rest of the fleet has room for a zone's work.
+# Fraction of the cores of each pool that is requested; the rest of the fleet can take the work of a zone.
 DEMAND = 0.8
-# A home passes the agreed state to its workers within a sync of 0.5 s.
+# A home passes changes of the replicated state to its workers at their next sync, within 0.5 s.
 SYNC_STEPS = round(0.5 / STEP_S)
 LEAVES_S, RETURNS_S, ENDS_S = 30.0, 150.0, 300.0
-# A VM is down for 20 s; the leader is replaced once.
+# Times at which a VM fails for 20 s. The leader is also replaced once.
 FAULTS_S = (40.0, 70.0, 100.0, 160.0, 190.0, 220.0)
 DOWN_S = 20.0
 NEW_LEADER_S = 45.0
@@ -36,17 +36,17 @@
 
 @dataclass(slots=True, kw_only=True)
 class ZoneChangeSimulation:
-    """One run of a deployment.
+    """Simulation of one deployment.
 
     Attributes:
-        deployment: Example deployment.
-        rng: Source of run times and faults.
-        world: Jobs and agreed state.
-        demand: Cores asked for by pool.
-        failed: VMs that are down by their time of return.
-        accepted: Accepted jobs.
-        peak_down: Most planned stops at once in a pool.
-        late_starts: Starts in the zone later than 5 s after it was withdrawn.
+        deployment: Name of the example deployment.
+        rng: Random source of faults.
+        simulation: Simulated jobs and replicated state.
+        demand: Requested cores by pool.
+        failed: Time at which each failed VM returns.
+        accepted: Number of accepted jobs.
+        peak_down: Largest number of concurrent planned stops in a pool.
+        late_starts: Number of starts in the zone later than 5 s after its withdrawal.
     """
 
     deployment: str
@@ -59,14 +59,14 @@
     late_starts: int = 0
 
     async def run(self) -> dict[str, float]:
-        """Returns the work done as a part of what the remaining VMs could do, with the checks beside it."""
+        """Returns the work done as a fraction of the capacity of the remaining VMs, and the checked counts."""
         zone = self._prepare()
         scheduler, controller = self.simulation.scheduler(), self._controller()
         done = possible = 0.0
         for step in range(round(ENDS_S / STEP_S)):
             self._inject_faults(step, zone=zone)
             if step == round(NEW_LEADER_S / STEP_S):
-                # A daemon resets its feed while another one leads, so that it then plans from the whole state.
+                # A daemon that does not lead resets its feed, so that it plans from the whole state when it leads.
                 self.simulation.replica.state.indexes.feed.reset()
                 scheduler, controller = self.simulation.scheduler(), self._controller()
             if step % SYNC_STEPS == 0:
@@ -139,7 +139,7 @@
             self._change(self.simulation.replica.state.tables.vms[name], VmState.READY)
 
     def _submit_demand(self) -> None:
-        """Keeps the demand of each pool running or waiting."""
+        """Submits jobs until the running and pending ones of each pool match its demand."""
         state = self.simulation.replica.state
         asked = Counter(job.spec.pool for job in [*state.indexes.pending.values(), *self._running()])
         for pool, cores in self.demand.items():
@@ -158,7 +158,7 @@
         return [state.tables.jobs[job_id] for ids in state.indexes.running.values() for job_id in ids]
 
     def _end_drains(self) -> None:
-        """Checkpoints what can be, and reports VMs that are empty."""
+        """Checkpoints the checkpointable jobs of draining VMs and reports these VMs as drained."""
         tables = self.simulation.replica.state.tables
         for vm in [tables.vms[name] for name in tables.permits]:
             if vm.state is VmState.DRAINING:
@@ -193,7 +193,7 @@
         return min(sum(self.demand.values()), remaining * CAPACITY.cores)
 
     async def _run_to_completion(self, scheduler: JobScheduler, controller: FleetController) -> None:
-        """Lets all accepted jobs end."""
+        """Runs the simulation until all accepted jobs have ended."""
         for step in range(round(60 / STEP_S)):
             if not self.simulation.replica.state.indexes.pending and not self.simulation.ends:
                 return
@@ -205,7 +205,7 @@
 
 
 async def measure_zone_work(deployment: str, *, seed: int) -> dict[str, float]:
-    """Runs a deployment through a withdrawal and a return with faults."""
+    """Simulates the withdrawal and return of a zone with faults."""
     rng = random.Random(seed)
     simulation = JobSimulation(weights={TEAM: 1.0}, run_s=lambda _: rng.uniform(2, 6))
     return await ZoneChangeSimulation(deployment=deployment, rng=rng, simulation=simulation).run()
--- a/src/hyssopway_standins/waiting.py
+++ b/src/hyssopway_standins/waiting.py
@@ -24,7 +24,7 @@
         if found:
             return found
         if time.monotonic() > deadline:
-            raise TimeoutError(f"not reached in {timeout_s} s")
+            raise TimeoutError(f"condition did not hold within {timeout_s} s")
         await asyncio.sleep(POLL_S)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that run whole deployments as processes."""
+"""Fixtures that run a deployment of daemon processes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Passes over the tests listed in KNOWN-RED.txt, unless one of them is asked for by its id."""
+    """Deselects the tests listed in KNOWN-RED.txt, unless one of them is named on the command line."""
     known = _read_known_red()
     if any(name in argument for name in known for argument in config.args):
         return
@@ -34,7 +34,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints the tests that were passed over."""
+    """Prints the tests listed in KNOWN-RED.txt."""
     for name in _read_known_red():
         terminalreporter.write_line(f"KNOWN RED, not run: {name}")
 
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 async def deployment(tmp_path: Path) -> AsyncIterator[Deployment]:
-    """Six daemons of the pantry deployment, ready to take changes."""
+    """Six running daemons of the pantry deployment, ready for changes."""
     prepared = Deployment.prepare(name="pantry", folder=tmp_path)
     prepared.start()
     try:
@@ -64,7 +64,7 @@
 
 @pytest.fixture
 async def operator(deployment: Deployment, session: aiohttp.ClientSession) -> OperatorClient:
-    """An operator who put the example document in force."""
+    """Client of an operator, after the activation of the example document."""
     url = deployment.daemons["nashua-1"].url
     client = OperatorClient(session=session, url=url, token=deployment.operator_token)
     await client.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
@@ -73,7 +73,7 @@
 
 @pytest.fixture
 async def fleet_stand_in(deployment: Deployment, operator: OperatorClient) -> AsyncIterator[FleetStandIn]:
-    """All endpoints and workers of the pantry deployment."""
+    """Running stand-ins for all endpoints and workers of the pantry deployment."""
     prepared = FleetStandIn.prepare(deployment)
     await prepared.start()
     try:
--- a/tests/daemon_dumps.py
+++ b/tests/daemon_dumps.py
@@ -1,4 +1,4 @@
-"""Reads what all daemons of a deployment agree on."""
+"""Reads and compares the dumps of the daemons of a deployment."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def find_leader(operator: OperatorClient) -> str:
-    """Returns the daemon that leads, as the operator's entry knows it."""
+    """Returns the name of the leader according to the entry VM of the operator client."""
 
     async def find() -> str:
         try:
@@ -29,7 +29,7 @@
 
 
 async def read_dumps(deployment: Deployment, operator: OperatorClient) -> list[dict[str, Any]]:
-    """Reads the dumps of all daemons."""
+    """Returns the dumps of all daemons."""
     clients = [
         OperatorClient(session=operator.session, url=daemon.url, token=operator.token)
         for daemon in deployment.daemons.values()
@@ -38,12 +38,12 @@
 
 
 def has_fresh_state(dump: dict[str, Any]) -> bool:
-    """Tells whether a daemon makes decisions on its state."""
+    """Tells whether the state of a daemon was confirmed recently enough for decisions."""
     return dump["freshness_age_s"] is not None and dump["freshness_age_s"] <= AUTHORITY_TTL_S
 
 
 async def replicas_converged(deployment: Deployment, operator: OperatorClient) -> bool:
-    """Tells whether all daemons hold the same state and confirm it."""
+    """Tells whether all daemons hold the same, recently confirmed state."""
     dumps = await read_dumps(deployment, operator)
     same = all(dump["agreed_state"] == dumps[0]["agreed_state"] for dump in dumps)
     return same and all(has_fresh_state(dump) for dump in dumps)
--- a/tests/measure/test_report.py
+++ b/tests/measure/test_report.py
@@ -1,4 +1,4 @@
-"""Results of measurements that are run area by area."""
+"""Reports of measurements that run one area at a time."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def test_areas_measured_before_are_kept(write, tmp_path):
-    """Guards against a second area whose results replace those of the first."""
+    """Guards against results of a second area that replace those of the first."""
     write(make_measurement("requests"))
     assert write(make_measurement("jobs")) == {"requests": 1.0, "jobs": 1.0}
     page = (tmp_path / "report.md").read_text()
@@ -36,19 +36,19 @@
 
 
 def test_area_measured_again_is_replaced(write):
-    """Guards against two results of one area in a report."""
+    """Guards against a report with two results of the same area."""
     write(make_measurement("jobs", value=1.0))
     assert write(make_measurement("jobs", value=2.0)) == {"jobs": 2.0}
 
 
 @pytest.mark.parametrize("other", [{"commit": "def"}, {"seed": 2}])
 def test_results_of_other_code_or_another_seed_are_not_mixed_in(write, other):
-    """Guards against a page that shows figures of two programs as those of one."""
+    """Guards against a report that mixes results of different commits or seeds."""
     write(make_measurement("requests"))
     assert write(make_measurement("jobs"), **other) == {"jobs": 1.0}
 
 
 def test_unreadable_results_are_replaced(write, tmp_path):
-    """Guards against a measurement that is lost because an earlier one was cut off while it was written."""
+    """Guards against a failure to write a report after an earlier write was interrupted."""
     (tmp_path / "results.json").write_text('{"origin": ')
     assert write(make_measurement("jobs")) == {"jobs": 1.0}
