--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -106,7 +106,7 @@
         started = time.monotonic()
         group.start(name)
         if not await group.nodes[name].replica.wait_beyond(wanted - 1, timeout_s=WAIT_S):
-            raise TimeoutError(f"restarted member did not catch up {missed} changes within {WAIT_S:g} s")
+            raise TimeoutError(f"restarted member did not catch up {missed} changes in time")
         points.append((float(missed), time.monotonic() - started))
         measurement.figures[f"catch-up after {missed} changes s"] = points[-1][1]
     measurement.series.append(
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -140,7 +140,7 @@
             if leader is not None and (await leader.member.propose(data=data, timeout_s=2.0)).is_ok():
                 return
             await asyncio.sleep(0.005)
-        raise TimeoutError(f"no change was accepted within {WAIT_S:g} s")
+        raise TimeoutError("no leader accepted the change in time")
 
     async def write_many(self, *, count: int, writers: int) -> None:
         """Writes `count` changes with `writers` concurrent writers."""
--- a/src/hyssopway_standins/measure/requests_servers.py
+++ b/src/hyssopway_standins/measure/requests_servers.py
@@ -58,7 +58,7 @@
             TimeoutError: The process reported nothing in time.
         """
         if not self.pipe.poll(LONGEST_S):
-            raise TimeoutError(f"helper process reported no value within {LONGEST_S:g} s")
+            raise TimeoutError("helper process reported no value in time")
         return self.pipe.recv()
 
     def stop(self) -> None:
