--- a/src/hyssopway/dispatch/pace_history.py
+++ b/src/hyssopway/dispatch/pace_history.py
@@ -1,4 +1,4 @@
-"""Remembers how much tasks of one image disturb those of another."""
+"""History of how much tasks of one image interfere with those of another."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-# Share of tasks that fill beside images that they were never seen with.
+# Pace of best-effort tasks beside an image that they have not run with before.
 FIRST_PERCENT = 50
 
 
 class PaceHistory:
-    """Shares at which serving tasks kept their target, by serving and filling image.
+    """Paces (shares of full speed) of best-effort tasks, by pair of latency-bound and best-effort image.
 
     Attributes:
         kept: Last share in percent by pair of images.
@@ -23,17 +23,17 @@
     def __init__(self) -> None:
         self.kept: dict[tuple[str, str], int] = {}
 
-    def read(self, images: Iterable[tuple[str, str]]) -> int:
-        """Returns the share to begin with; that of the pair that disturbs most."""
+    def initial_percent(self, images: Iterable[tuple[str, str]]) -> int:
+        """Returns the pace to begin with: the lowest of all pairs."""
         return min(self.kept.get(pair, FIRST_PERCENT) for pair in images)
 
-    def note(self, images: Iterable[tuple[str, str]], *, percent: int) -> None:
-        """Takes in the share that some VM has come to."""
+    def record(self, images: Iterable[tuple[str, str]], *, percent: int) -> None:
+        """Records the pace that some VM has reached."""
         for pair in images:
             self.kept[pair] = percent
 
-    def disturbs(self, pair: tuple[str, str]) -> bool:
-        """Tells whether a filling image had to be slowed beside a serving one."""
+    def interferes(self, pair: tuple[str, str]) -> bool:
+        """Returns whether a best-effort image had to be slowed beside a latency-bound one."""
         return self.kept.get(pair, FIRST_PERCENT) < FIRST_PERCENT
 
 
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -260,7 +260,7 @@
         scale=DurationScale(),
         poll_limiter=PollRateLimiter(),
         rtt_estimator=RttEstimator(),
-        pace_memory=PaceHistory(),
+        pace_history=PaceHistory(),
         tickets=dispatcher.tickets,
         on_change=lambda: None,
     )
--- a/tests/control/conftest.py
+++ b/tests/control/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the agreed state."""
+"""Fixtures of the replicated state."""
 
 from __future__ import annotations
 
@@ -7,6 +7,6 @@
 
 
 @pytest.fixture
-def state_machine():
-    """A small fleet in agreed state."""
+def fleet():
+    """A replicated state with a small fleet."""
     return small_fleet()
--- a/tests/control/small_fleet.py
+++ b/tests/control/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in agreed state."""
+"""A replicated state with a small fleet: three pools of eight VMs in two zones."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 def small_fleet(**budget):
-    state_machine = StateMachineStandIn.prepare(data=small_document(**budget))
+    fleet = StateMachineStandIn.prepare(data=small_document(**budget))
     for pool in ("web", "batch", "spare"):
         for number in range(8):
             zone = ("east", "west")[number % 2]
-            state_machine.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
-    return state_machine
+            fleet.register(f"{pool}-{number}", zone=zone, rack=f"{zone}-{number // 4}", pool=pool)
+    return fleet
--- a/tests/fleet/test_decisions.py
+++ b/tests/fleet/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions of the leader about liveness, moves and drains."""
+"""Tests of the leader's decisions about moves and overdue drains."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return StateMachineStandIn.prepare_example("pantry")
 
 
-def operate(state_machine, kind, **fields):
+def apply_operator_command(state_machine, kind, **fields):
     outcome = state_machine.apply(
         kind(
             vm=VM,
@@ -35,29 +35,28 @@
     assert outcome.failure is None
 
 
-def change(state_machine, *states):
+def change_state(state_machine, *states):
     for state in states:
         state_machine.apply(
             ChangeVm(vm=VM, state=state, expected_epoch=state_machine.vm(VM).epoch, reason="test")
         )
 
 
-# States that the VM went through, whether it is under a permit, its silence, and the next state.
 def test_move_is_made_once_the_vm_is_empty(state_machine):
-    """Guards against a move that a new leader forgets."""
-    operate(state_machine, RequestMove, target="pickup")
+    """Guards against a requested move that is never made, for example after a change of the leader."""
+    apply_operator_command(state_machine, RequestMove, target="pickup")
     assert not decide_moves(state_machine.state)
-    change(state_machine, VmState.DRAINED)
+    change_state(state_machine, VmState.DRAINED)
     (move,) = decide_moves(state_machine.state)
     state_machine.apply(move)
     assert (state_machine.vm(VM).pool, state_machine.vm(VM).state) == ("pickup", VmState.READY)
     assert not decide_moves(state_machine.state)
 
 
-def test_move_to_a_dropped_pool_is_taken_back(state_machine):
+def test_move_to_a_removed_pool_is_cancelled(state_machine):
     """Guards against a VM that stays drained because its new pool no longer exists."""
-    operate(state_machine, RequestMove, target="pickup")
-    change(state_machine, VmState.DRAINED)
+    apply_operator_command(state_machine, RequestMove, target="pickup")
+    change_state(state_machine, VmState.DRAINED)
     data = state_machine.data
     data["pools"] = [pool for pool in data["pools"] if pool["name"] != "pickup"]
     data["services"] = [service for service in data["services"] if service["pool"] != "pickup"]
@@ -75,26 +74,26 @@
         (601_000, (VmState.DRAINED,), False),
     ],
 )
-def test_drain_that_does_not_end_is_found(state_machine, after_ms, states, overdue):
-    """Guards against a drain that blocks its budget without anybody knowing."""
-    operate(state_machine, DrainVm)
-    change(state_machine, *states)
+def test_overdue_drain_is_found(state_machine, after_ms, states, overdue):
+    """Guards against a stuck drain that uses up a budget without being reported."""
+    apply_operator_command(state_machine, DrainVm)
+    change_state(state_machine, *states)
     assert [permit.vm for permit in find_overdue_drains(state_machine.state, now_ms=after_ms)] == [
         VM
     ] * overdue
 
 
-async def test_question_about_a_drain_is_asked_once_over_two_leaders(state_machine):
-    """Guards against a new leader that asks again, and against silence after the operator waited on."""
+async def test_question_about_a_drain_is_asked_once_across_two_leaders(state_machine):
+    """Guards against a new leader that repeats a question, and a second timeout that goes unreported."""
     lines = []
     sink = logger.add(lines.append, level="WARNING")
-    operate(state_machine, DrainVm)
+    apply_operator_command(state_machine, DrainVm)
     state_machine.now_ms = 601_000
     leaders = [make_controller(state_machine) for _ in range(2)]
     for leader in [leaders[0], leaders[0], leaders[1], leaders[1]]:
         await leader.control_once()
     assert len(lines) == 1
-    operate(state_machine, DecideDrain, decision=DrainDecision.WAIT)
+    apply_operator_command(state_machine, DecideDrain, decision=DrainDecision.WAIT)
     await leaders[1].control_once()
     assert len(lines) == 1
     state_machine.now_ms += 601_000
