--- a/src/hyssopway_standins/command_line.py
+++ b/src/hyssopway_standins/command_line.py
@@ -1,4 +1,4 @@
-"""Runs the real command line against a deployment."""
+"""Runs the `hyssopway` command line as a subprocess against a deployment."""
 
 from __future__ import annotations
 
@@ -12,39 +12,42 @@
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
-class Finished:
-    """A command that ended.
+class CommandResult:
+    """Result of a finished command.
 
     Attributes:
         status: Exit status.
-        out: Standard output.
-        err: Standard error.
+        stdout: Standard output.
+        stderr: Standard error.
     """
 
     status: int
-    out: str
-    err: str
+    stdout: str
+    stderr: str
 
 
 @dataclass(slots=True, kw_only=True)
 class CommandLine:
-    """Starts `hyssopway` as a process.
+    """Runs `hyssopway` commands in subprocesses.
 
     Attributes:
-        deployment: Deployment that it talks to.
+        deployment: Deployment that the commands are sent to.
         operator: Name that changes are recorded under.
     """
 
     deployment: Deployment
     operator: str = "demo"
 
-    async def run(self, *arguments: str, first: str = "", key: str = "") -> Finished:
-        """Runs one command.
+    async def run(self, *arguments: str, first: str = "", key: str = "") -> CommandResult:
+        """Runs one command and returns its result.
 
         Args:
             arguments: Command and its options.
-            first: Daemon whose entry VM is asked first.
-            key: Key of a team.
+            first: Daemon whose entry VM is tried first.
+            key: Key of a team; empty to send none.
+
+        Raises:
+            TimeoutError: The command did not end in time; it was killed.
         """
         daemons = sorted(self.deployment.daemons.values(), key=lambda daemon: daemon.name != first)
         entries = [part for daemon in daemons for part in ("--entry", daemon.url)]
@@ -63,12 +66,12 @@
         )
         try:
             async with asyncio.timeout(TIMEOUT_S):
-                out, err = await process.communicate()
+                stdout, stderr = await process.communicate()
         except TimeoutError:
             process.kill()
             await process.wait()
             raise
-        return Finished(status=process.returncode or 0, out=out.decode(), err=err.decode())
+        return CommandResult(status=process.returncode or 0, stdout=stdout.decode(), stderr=stderr.decode())
 
 
-__all__ = ["CommandLine", "Finished"]
+__all__ = ["CommandLine", "CommandResult"]
--- a/src/hyssopway_standins/demo.py
+++ b/src/hyssopway_standins/demo.py
@@ -17,7 +17,7 @@
 
 from .command_line import CommandLine
 from .fleet import EXAMPLES, load_example_document
-from .outside import Outside
+from .fleet_stand_in import FleetStandIn
 from .processes import Deployment
 from .summary import Summary
 
@@ -26,29 +26,31 @@
 
     from hyssopway.document import Service
 
-    from .command_line import Finished
+    from .command_line import CommandResult
 
 JOBS = 6
-WITHDRAWN_S = 5.0
-IN_FORCE_S = 16.0
-SETTLE_S = 10.0
+MAX_KEY_WITHDRAWAL_S = 5.0
+MAX_ACTIVATION_S = 16.0
+CONDITION_TIMEOUT_S = 10.0
 SHOWN_LINES = 16
 
 
 class Demo:
-    """One demonstration.
+    """Demonstrates a deployment step by step and compares each result with the expected one.
 
     Attributes:
-        deployment: The daemons.
-        outside: Endpoints and workers.
+        deployment: Daemons of the deployment.
+        fleet_stand_in: Endpoints and workers.
         session: HTTP client of the callers.
-        cli: The command line.
-        summary: Expected against found.
+        cli: Runs `hyssopway` commands.
+        summary: Expected and actual results.
     """
 
-    def __init__(self, *, deployment: Deployment, outside: Outside, session: aiohttp.ClientSession) -> None:
+    def __init__(
+        self, *, deployment: Deployment, fleet_stand_in: FleetStandIn, session: aiohttp.ClientSession
+    ) -> None:
         self.deployment = deployment
-        self.outside = outside
+        self.fleet_stand_in = fleet_stand_in
         self.session = session
         self.cli = CommandLine(deployment=deployment)
         self.summary = Summary()
@@ -60,8 +62,8 @@
     async def run(self) -> None:
         """Runs all steps in order."""
         for title, step in (
-            ("Document", self.put_in_force),
-            ("Endpoints and workers start", self.outside.start),
+            ("Document", self.activate_document),
+            ("Endpoints and workers start", self.fleet_stand_in.start),
             ("Key", self.grant_key),
             ("Requests", self.call_services),
             ("Jobs", self.run_jobs),
@@ -73,24 +75,26 @@
             print(f"\n{title}")
             await step()
 
-    async def put_in_force(self) -> None:
-        """Checks, tries and promotes the example document."""
+    async def activate_document(self) -> None:
+        """Checks the example document, runs it in trial and promotes it."""
         await self.expect("check", self.path)
         await self.expect("promote", self.path, status=3)
         await self.expect("trial", self.path)
         started = time.monotonic()
         await self.expect("promote", self.path, "--wait")
-        self.summary.limit("seconds to be in force", at_most=IN_FORCE_S, found=time.monotonic() - started)
+        self.summary.compare_limit(
+            "seconds to be in force", at_most=MAX_ACTIVATION_S, found=time.monotonic() - started
+        )
 
     async def grant_key(self) -> None:
         """Grants a key to the first team."""
         granted = await self.expect("keys", "grant", self.team)
-        self.key = granted.out.strip()
+        self.key = granted.stdout.strip()
 
     async def call_services(self) -> None:
         """Calls an open, a keyed and a non-idempotent service through every entry VM."""
         for kind, service in self._pick_services().items():
-            # Endpoints have just started; an entry VM that knows none yet refuses with NO_ENDPOINT.
+            # An entry VM rejects requests with NO_ENDPOINT until the first endpoint has registered with it.
             await self._wait_served(service)
             answers = [
                 await self._call(service, url=daemon.url, tag=f"resent-{kind}")
@@ -102,7 +106,10 @@
                 found=answers.count(200),
             )
             if not service.idempotent:
-                runs = sum(endpoint.seen[f"resent-{kind}"] for endpoint in self.outside.endpoints.values())
+                runs = sum(
+                    endpoint.request_counts[f"resent-{kind}"]
+                    for endpoint in self.fleet_stand_in.endpoints.values()
+                )
                 self.summary.compare(
                     f"runs of one {service.name} request sent 6 times", expected=1, found=runs
                 )
@@ -113,19 +120,19 @@
                 )
 
     async def run_jobs(self) -> None:
-        """Submits jobs through all entry VMs and explains one."""
+        """Submits jobs through all entry VMs and runs `explain` for one of them."""
         jobs = await self.submit_jobs()
         self.summary.compare("jobs done", expected=JOBS, found=await self._count_done(jobs))
         explained = await self.expect("explain", "job", jobs[0], "--json")
-        history = json.loads(explained.out or "{}").get("history", [])
+        history = json.loads(explained.stdout or "{}").get("history", [])
         self.summary.compare(
             "explanation names the run", expected=True, found=any("run 1" in h for h in history)
         )
 
     async def withdraw_key(self) -> None:
-        """Withdraws a key and measures until no entry VM accepts it."""
+        """Withdraws a key and measures the time until every entry VM rejects it."""
         service = self._pick_services()["keyed"]
-        second = (await self.expect("keys", "grant", self.team)).out.strip()
+        second = (await self.expect("keys", "grant", self.team)).stdout.strip()
         await self._wait_served(service, key=second)
         started = time.monotonic()
         await self.expect("keys", "withdraw", second.split("_")[1])
@@ -135,12 +142,14 @@
             answers = [await self._call(service, url=url, tag="late", key=second) for url in urls]
             return set(answers) == {403}
 
-        await _until(refused_everywhere)
+        await _wait_until(refused_everywhere)
         found = time.monotonic() - started
-        self.summary.limit("seconds until a withdrawn key stops", at_most=WITHDRAWN_S, found=found)
+        self.summary.compare_limit(
+            "seconds until a withdrawn key stops", at_most=MAX_KEY_WITHDRAWAL_S, found=found
+        )
 
     async def withdraw_zone(self) -> None:
-        """Withdraws a zone, runs jobs elsewhere and restores the zone."""
+        """Withdraws a zone, runs jobs in the other zones and restores the zone."""
         zone = self.document.zones[-1]
         await self.expect("zones", "withdraw", zone, "--wait")
         before = self._starts_in(zone)
@@ -150,11 +159,11 @@
         )
         self.summary.compare(f"starts in {zone} while out", expected=0, found=self._starts_in(zone) - before)
         await self.expect("zones", "restore", zone, "--at-once", "--wait")
-        listed = json.loads((await self.expect("zones", "list", "--json")).out)["zones"]
+        listed = json.loads((await self.expect("zones", "list", "--json")).stdout)["zones"]
         self.summary.compare("zones open again", expected=len(listed), found=_count(listed, status="open"))
 
     async def kill_daemon(self) -> None:
-        """Kills a daemon, if possible the leader, works on without it and starts it again."""
+        """Kills a daemon, if possible the leader, runs jobs without it and restarts it."""
         victim = await self._pick_victim()
         daemon = self.deployment.daemons[victim]
         daemon.kill()
@@ -169,17 +178,17 @@
         print(f"started {victim} again")
 
     async def show_processes(self) -> None:
-        """Shows status and dump."""
+        """Runs `status` and `dump`."""
         await self.expect("status")
         confirmed = _count(await self._daemons(), confirmed=True)
         self.summary.compare("daemons that are confirmed", expected=6, found=confirmed)
         dumped = await self.expect("dump", quiet=True)
         self.summary.compare(
-            "dump holds secrets", expected=False, found=self.key.rsplit("_")[-1] in dumped.out
+            "dump holds secrets", expected=False, found=self.key.rsplit("_")[-1] in dumped.stdout
         )
 
     async def submit_jobs(self) -> list[str]:
-        """Submits jobs to all pools, each through another entry VM first."""
+        """Submits jobs to all pools; each job tries a different entry VM first."""
         names = list(self.deployment.daemons)
         pools = [pool.name for pool in self.document.pools]
 
@@ -188,18 +197,18 @@
             pool = pools[number % len(pools)]
             command = ("jobs", "submit", *options, "--pool", pool)
             done = await self.cli.run(*command, first=names[number % len(names)], key=self.key)
-            return done.out.strip()
+            return done.stdout.strip()
 
         jobs = await asyncio.gather(*(submit(number) for number in range(JOBS)))
         print(f"submitted {len([job for job in jobs if job])} jobs through {len(names)} entry VMs")
         return list(jobs)
 
-    async def expect(self, *arguments: str, status: int = 0, quiet: bool = False) -> Finished:
-        """Runs a command, prints it and compares its exit status."""
+    async def expect(self, *arguments: str, status: int = 0, quiet: bool = False) -> CommandResult:
+        """Runs a command, prints it with its output and compares its exit status."""
         done = await self.cli.run(*arguments, key=self.key)
         shown = [Path(part).name if "/" in part else part for part in arguments]
         print(f"$ hyssopway {' '.join(shown)}")
-        text = (done.out + done.err).replace(self.key or "\0", "KEY")
+        text = (done.stdout + done.stderr).replace(self.key or "\0", "KEY")
         if not quiet and not {"grant", "--json"} & set(arguments):
             print("".join(f"    {line}\n" for line in text.splitlines()[:SHOWN_LINES]), end="")
         self.summary.compare(f"exit status of {' '.join(shown[:2])}", expected=status, found=done.status)
@@ -222,7 +231,7 @@
             ]
             return set(answers) == {200}
 
-        await _until(served_everywhere)
+        await _wait_until(served_everywhere)
 
     async def _call(self, service: Service, *, url: str, tag: str, key: str | None = None) -> int:
         secret = self.key if key is None else key
@@ -239,16 +248,16 @@
         async def all_ended() -> bool:
             return len(await self._find(jobs, ended=True)) == len(jobs)
 
-        await _until(all_ended)
+        await _wait_until(all_ended)
         return _count(await self._find(jobs, ended=True), status="done")
 
     async def _find(self, jobs: list[str], *, ended: bool) -> list[dict[str, Any]]:
         listed = await self.cli.run("jobs", "list", "--json", key=self.key)
-        found = json.loads(listed.out)["jobs"] if listed.status == 0 else []
+        found = json.loads(listed.stdout)["jobs"] if listed.status == 0 else []
         return [job for job in found if job["job_id"] in jobs and (not ended or job["ended_ms"])]
 
     async def _pick_victim(self) -> str:
-        # In a zone with one entry VM the workers have no other home, and their runs wait for its return.
+        # Workers of a zone with a single entry VM have no other home: their runs would wait for its restart.
         paired = [
             daemon.name
             for daemon in self.deployment.daemons.values()
@@ -259,18 +268,20 @@
 
     async def _daemons(self) -> list[dict[str, Any]]:
         status = await self.cli.run("status", "--json")
-        daemons: list[dict[str, Any]] = json.loads(status.out)["daemons"]
+        daemons: list[dict[str, Any]] = json.loads(status.stdout)["daemons"]
         return daemons
 
     def _starts_in(self, zone: str) -> int:
-        return sum(len(worker.starts) for worker in self.outside.workers.values() if worker.zone == zone)
+        return sum(
+            len(worker.starts) for worker in self.fleet_stand_in.workers.values() if worker.zone == zone
+        )
 
     def _url(self, position: int) -> str:
         return list(self.deployment.daemons.values())[position].url
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Runs the demonstration; the exit status is 1 when anything in the summary is wrong."""
+    """Runs the demonstration and returns its exit status: 1 when a result differs from the expected one."""
     parser = argparse.ArgumentParser(description="Demonstration on loopback.")
     parser.add_argument("--deployment", choices=("pantry", "association"), default="pantry")
     return asyncio.run(_run(parser.parse_args(arguments).deployment))
@@ -280,29 +291,31 @@
     started = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name=name, folder=Path(folder))
-        outside = Outside.prepare(deployment)
+        fleet_stand_in = FleetStandIn.prepare(deployment)
         timeout = aiohttp.ClientTimeout(total=10)
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            demo = Demo(deployment=deployment, outside=outside, session=session)
+            demo = Demo(deployment=deployment, fleet_stand_in=fleet_stand_in, session=session)
             deployment.start()
             try:
                 await deployment.wait_ready()
-                print(f"{len(deployment.daemons)} daemons, {len(outside.workers)} workers", end=" and ")
-                print(f"{len(outside.endpoints)} endpoints of the {name} deployment")
+                print(
+                    f"{len(deployment.daemons)} daemons, {len(fleet_stand_in.workers)} workers", end=" and "
+                )
+                print(f"{len(fleet_stand_in.endpoints)} endpoints of the {name} deployment")
                 await demo.run()
             except Exception as error:
                 demo.summary.compare("error", expected=None, found=repr(error))
             finally:
-                await outside.stop()
+                await fleet_stand_in.stop()
                 statuses = await asyncio.to_thread(deployment.stop)
     demo.summary.compare("exit statuses of the daemons", expected={0}, found=set(statuses.values()))
     print(f"\n{demo.summary.render()}\n\n{time.monotonic() - started:.1f} s")
-    return 0 if demo.summary.is_right else 1
+    return 0 if demo.summary.all_passed else 1
 
 
-async def _until(holds: Callable[[], Awaitable[bool]]) -> None:
-    """Waits for a condition; what is still wrong afterwards shows in the summary."""
-    deadline = time.monotonic() + SETTLE_S
+async def _wait_until(holds: Callable[[], Awaitable[bool]]) -> None:
+    """Waits for a condition; returns after a timeout as well, and the summary then shows the difference."""
+    deadline = time.monotonic() + CONDITION_TIMEOUT_S
     while True:
         if await holds() or time.monotonic() > deadline:
             return
--- a/src/hyssopway_standins/measure/agreement.py
+++ b/src/hyssopway_standins/measure/agreement.py
@@ -1,8 +1,8 @@
-"""Measures the agreement: rates, elections, catch-up, restarts, memory and spread of changes.
+"""Measures consensus: rates, elections, catch-up, restarts, memory and propagation of changes.
 
-Members run as tasks of this process over a transport that only delivers, with real files and syncs, so the
-figures hold for the protocol and the disk and not for capnp or the network. The changes of the rates are key
-grants without a document in force, which the state refuses and remembers.
+Members run as tasks of this process over an in-memory transport, with real files and fsyncs, so the results cover
+the protocol and the disk but not capnp or the network. The rates are measured with key grants without an active
+document, which the state rejects and records.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 from .local_group import NAMES, WAIT_S, LocalGroup, LocalTransport, grant_key
 from .measurement import Measurement, Series
-from .spread import measure_spread
+from .propagation import measure_propagation
 from .state_memory import measure_memory
 
 if TYPE_CHECKING:
@@ -28,14 +28,19 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures the agreement."""
+    """Measures consensus, propagation of changes and memory of the state."""
     measurement = Measurement(area="agreement")
-    parts: list[Callable[..., Awaitable[None]]] = [_rates, _elections, _catch_up, _spread]
+    parts: list[Callable[..., Awaitable[None]]] = [
+        _measure_rates,
+        _measure_elections,
+        _measure_catch_up,
+        _measure_propagation,
+    ]
     for part in parts:
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(_run_part(part, measurement, Path(folder), seed=seed, quick=quick))
-    measure_spread(measurement, quick=quick)
-    _restarts(measurement, quick=quick)
+    measure_propagation(measurement, quick=quick)
+    _measure_restarts(measurement, quick=quick)
     measure_memory(measurement, quick=quick)
     return measurement
 
@@ -52,7 +57,7 @@
         await group.stop()
 
 
-async def _rates(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_rates(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     points = []
     for writers in (1, 8, 64):
         count = (50 if quick else 150) * min(writers, 16)
@@ -71,12 +76,12 @@
     )
 
 
-async def _elections(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_elections(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     times = []
     for _ in range(5 if quick else 20):
         leader = group.leader()
         if leader is None:
-            raise RuntimeError("no leader to stop")
+            raise RuntimeError("the group has no leader to stop")
         name = leader.member.daemon
         started = time.monotonic()
         await group.stop(name)
@@ -89,7 +94,7 @@
     measurement.figures["leader lost to accepted change, trials"] = len(times)
 
 
-async def _catch_up(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_catch_up(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     points = []
     for missed in (1, 300, 1000 if quick else 10_000):
         leader = group.leader()
@@ -101,7 +106,7 @@
         started = time.monotonic()
         group.start(name)
         if not await group.nodes[name].replica.wait_applied_past(wanted - 1, timeout_s=WAIT_S):
-            raise TimeoutError(f"{missed} missed changes were not caught up")
+            raise TimeoutError(f"restarted member did not catch up {missed} changes in time")
         points.append((float(missed), time.monotonic() - started))
         measurement.figures[f"catch-up after {missed} changes s"] = points[-1][1]
     measurement.series.append(
@@ -109,7 +114,7 @@
     )
 
 
-async def _spread(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
+async def _measure_propagation(measurement: Measurement, group: LocalGroup, *, quick: bool) -> None:
     delays = []
     for _ in range(50 if quick else 300):
         started = time.monotonic()
@@ -127,11 +132,11 @@
     measurement.figures["change applied on all 5 members, max ms"] = max(delays)
 
 
-def _restarts(measurement: Measurement, *, quick: bool) -> None:
+def _measure_restarts(measurement: Measurement, *, quick: bool) -> None:
     for changes in (2000, 20_000) if quick else (10_000, 200_000):
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder)
-            asyncio.run(_fill_alone(path, changes=changes))
+            asyncio.run(_write_single_member_log(path, changes=changes))
             size = sum(file.stat().st_size for file in path.rglob("*") if file.is_file())
             started = time.monotonic()
             replica = Replica()
@@ -142,7 +147,7 @@
             member.store.close()
 
 
-async def _fill_alone(folder: Path, *, changes: int) -> None:
+async def _write_single_member_log(folder: Path, *, changes: int) -> None:
     replica = Replica()
     member = Member(daemon="a", store=Store(folder=folder), state_machine=replica, clock=time.monotonic)
     member.open(initial=Configuration(voters=("a/0",)))
@@ -158,7 +163,7 @@
             break
         await asyncio.sleep(0.01)
     for start in range(0, changes, 1000):
-        # A restart is measured after single changes; here they are only needed on disk.
+        # Batches only speed up filling the log; each change is still a log entry of its own on disk.
         batch = range(start, min(start + 1000, changes))
         await asyncio.gather(*(member.propose(data=grant_key(number), timeout_s=WAIT_S) for number in batch))
     for task in tasks:
--- a/src/hyssopway_standins/measure/dispatch.py
+++ b/src/hyssopway_standins/measure/dispatch.py
@@ -1,7 +1,7 @@
-"""What the decisions of a leader cost against the size of the fleet.
+"""Measures the CPU cost of a leader's decisions by fleet size.
 
-Runs the real dispatcher, pool sizes and links of the platform's programs over agreed state in memory, with VMs that
-accept everything. Times are processor time of this process, so other work on the machine hardly changes them.
+Runs the real dispatcher, pool measurement and VM links over a replicated state in memory, with VMs that accept
+every order. Times are CPU time of this process, which other load on the machine affects little.
 """
 
 from __future__ import annotations
@@ -49,15 +49,15 @@
 CORES_A_VM = 64
 TASKS_A_WORKFLOW = 8
 CORES_A_TASK = 8
-# Share of the fleet's cores that runs before a round is measured.
-HALF_FULL = 0.5
-# Starts of the round that is measured.
+# Share of the cores of the fleet that is in use before a round is measured.
+BUSY_SHARE = 0.5
+# Tasks submitted for the measured round.
 ROUND_STARTS = 200
 REPEATS = 5
 
 
-class MemoryTerm:
-    """A term whose commands apply at once."""
+class InMemoryLeadership:
+    """Leadership whose commands apply immediately, without a log."""
 
     def __init__(self) -> None:
         self.state = WorkflowState()
@@ -67,7 +67,7 @@
         self.now = 0.0
 
     def clock(self) -> float:
-        """Returns the time of the measurement."""
+        """Returns the fake local time."""
         return self.now
 
     def may_order(self) -> bool:
@@ -75,36 +75,36 @@
         return True
 
     async def propose(self, command: Command) -> None:
-        """Applies a command, encoded as in the log."""
+        """Applies a command in the encoding of the log."""
         self.state.apply(index=self.state.applied_index + 1, data=encode_command(command))
 
 
 class AcceptingVms:
-    """VMs that accept every order and list what runs."""
+    """VMs that accept every order and list their runs."""
 
     def __init__(self) -> None:
-        self.rows: dict[str, list[ListedRun]] = {}
+        self.listed_runs: dict[str, list[ListedRun]] = {}
 
     async def poll(self, *, vm: VmRecord, **_: Any) -> PollReply:
-        """Lists the runs of a VM."""
-        running = tuple(self.rows.get(vm.vm_id, ()))
+        """Returns the runs of a VM."""
+        running = tuple(self.listed_runs.get(vm.vm_id, ()))
         return PollReply(clock_ms=0, boot=vm.boot, running=running, ends=(), is_complete=True)
 
     async def start(self, *, vm: VmRecord, task: str, run: int, **_: Any) -> OrderReply:
         """Starts a run."""
-        self.rows.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
+        self.listed_runs.setdefault(vm.vm_id, []).append(ListedRun(task, run, "", 50, 0))
         return OrderReply()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Cost:
-    """Processor time of one size, in milliseconds.
+    """CPU time at one fleet size, in milliseconds.
 
     Attributes:
         vms: Number of VMs.
-        start_ms: A start, from the placement to the answer of the VM.
-        empty_round_ms: A round with nothing to do.
-        look_ms: A look at a VM with nothing new.
+        start_ms: One start, from its placement to the response of the VM.
+        empty_round_ms: One scheduling round with no work.
+        look_ms: One poll of a VM without changes. The field name is a key of the results.
         pools_ms: One measurement of all pools and their demand.
     """
 
@@ -116,7 +116,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures the costs at several sizes; nothing in it is random, so the seed changes nothing."""
+    """Measures the costs at several sizes; the measurement is deterministic and ignores the seed."""
     costs = [asyncio.run(_measure_size(vms)) for vms in (QUICK_SIZES if quick else SIZES)]
     figures: dict[str, float] = {}
     series: list[Series] = []
@@ -130,43 +130,43 @@
 
 
 def growth_exponent(points: list[tuple[float, float]]) -> float:
-    """Returns the slope of the line through the logarithms; 1 is a cost that grows with the fleet."""
+    """Returns the slope of a line through the logarithms: 0 for a constant cost, 1 for a linear one."""
     x, y = np.log(np.array(points, dtype=float)).T
     return float(np.polyfit(x, y, 1)[0])
 
 
 async def _measure_size(vms: int) -> Cost:
-    term, calls = MemoryTerm(), AcceptingVms()
-    await _register(term, vms=vms)
+    leadership, calls = InMemoryLeadership(), AcceptingVms()
+    await _register_vms(leadership, vms=vms)
     links: dict[str, VmLink] = {}
-    dispatcher = Dispatcher(leadership=term, links=links)  # type: ignore[arg-type]
-    for vm_id in term.state.tables.vms:
-        links[vm_id] = _link(vm_id, term=term, calls=calls, dispatcher=dispatcher)
+    dispatcher = Dispatcher(leadership=leadership, links=links)  # type: ignore[arg-type]
+    for vm_id in leadership.state.tables.vms:
+        links[vm_id] = _create_link(vm_id, leadership=leadership, calls=calls, dispatcher=dispatcher)
         await links[vm_id].poll()
-    running = round(vms * CORES_A_VM * HALF_FULL / CORES_A_TASK)
-    await _submit(term, tasks=running, name="run")
-    await _round(dispatcher)
+    running = round(vms * CORES_A_VM * BUSY_SHARE / CORES_A_TASK)
+    await _submit_workflows(leadership, tasks=running, name="run")
+    await _run_round(dispatcher)
     while sum(dispatcher.waiting_millis.values()):
-        await _round(dispatcher)
+        await _run_round(dispatcher)
     for link in links.values():
         await link.poll()
-    empty_round_ms = await _time(lambda: _round(dispatcher))
+    empty_round_ms = await _time(lambda: _run_round(dispatcher))
     first = next(iter(links.values()))
     look_ms = await _time(first.poll)
     forecast = DemandForecast(ahead_s=2.0, scale=lambda _: 1.0)
 
     async def measure_all() -> None:
-        tables, indexes = term.state.tables, term.state.indexes
+        tables, indexes = leadership.state.tables, leadership.state.indexes
         measure_pools(tables=tables, waiting_millis={})
         forecast.update(tables=tables, indexes=indexes, now_ms=0)
 
     pools_ms = await _time(measure_all)
-    await _submit(term, tasks=ROUND_STARTS, name="new")
-    running = len(term.state.tables.runs)
+    await _submit_workflows(leadership, tasks=ROUND_STARTS, name="new")
+    running = len(leadership.state.tables.runs)
     before = time.process_time()
-    await _round(dispatcher)
-    # A small fleet has no room for all of them.
-    start_ms = (time.process_time() - before) * 1000 / (len(term.state.tables.runs) - running)
+    await _run_round(dispatcher)
+    # A small fleet does not have capacity for all submitted tasks, so only the actual starts are counted.
+    start_ms = (time.process_time() - before) * 1000 / (len(leadership.state.tables.runs) - running)
     return Cost(
         vms=vms,
         start_ms=start_ms,
@@ -177,7 +177,7 @@
 
 
 async def _time(work: Callable[[], Any]) -> float:
-    """Returns the least processor time of some repeats, in milliseconds."""
+    """Returns the shortest CPU time of several repeats, in milliseconds."""
     times = []
     for _ in range(REPEATS):
         before = time.process_time()
@@ -186,14 +186,14 @@
     return min(times)
 
 
-async def _round(dispatcher: Dispatcher) -> None:
+async def _run_round(dispatcher: Dispatcher) -> None:
     await dispatcher.run_round()
     while dispatcher.sending:
         await asyncio.gather(*dispatcher.sending)
         await asyncio.sleep(0)
 
 
-async def _register(term: MemoryTerm, *, vms: int) -> None:
+async def _register_vms(leadership: InMemoryLeadership, *, vms: int) -> None:
     pools = [f"pool-{number}" for number in range(POOLS)]
     queues = tuple(
         Queue(name=f"queue-{pool}", host="a.example", path_prefix=f"/{pool}/", pool=pool) for pool in pools
@@ -206,10 +206,10 @@
         max_body_bytes=1,
         source="",
     )
-    await term.propose(PutDocument(document=document))
+    await leadership.propose(PutDocument(document=document))
     capacity = Capacity(cpu_millis=CORES_A_VM * 1000, memory_mb=128_000)
     for number in range(vms):
-        await term.propose(
+        await leadership.propose(
             RegisterVm(
                 vm=f"vm-{number}",
                 boot=1,
@@ -224,11 +224,11 @@
         )
 
 
-async def _submit(term: MemoryTerm, *, tasks: int, name: str) -> None:
+async def _submit_workflows(leadership: InMemoryLeadership, *, tasks: int, name: str) -> None:
     step = Step(count=TASKS_A_WORKFLOW, cpu_millis=CORES_A_TASK * 1000, memory_mb=500, estimate_ms=1000)
     spec = WorkflowSpec(specification="", steps=(step,))
     for number in range(tasks // TASKS_A_WORKFLOW):
-        await term.propose(
+        await leadership.propose(
             AcceptWorkflow(
                 workflow_id=f"{name}{number}",
                 queue=f"queue-pool-{number % POOLS}",
@@ -239,7 +239,9 @@
         )
 
 
-def _link(vm_id: str, *, term: MemoryTerm, calls: AcceptingVms, dispatcher: Dispatcher) -> VmLink:
+def _create_link(
+    vm_id: str, *, leadership: InMemoryLeadership, calls: AcceptingVms, dispatcher: Dispatcher
+) -> VmLink:
     limits = PlatformLimits(
         longest_lease_s=10.0,
         stop_s=0.4,
@@ -252,7 +254,7 @@
     )
     return VmLink(
         vm_id=vm_id,
-        leadership=term,  # type: ignore[arg-type]
+        leadership=leadership,  # type: ignore[arg-type]
         calls=calls,  # type: ignore[arg-type]
         limits=limits,
         scale=DurationScale(),
--- a/src/hyssopway_standins/measure/first_fit.py
+++ b/src/hyssopway_standins/measure/first_fit.py
@@ -1,4 +1,4 @@
-"""Plain baseline of the job measurements: first come, first served, first fit."""
+"""Baseline scheduler of the job measurements: first come, first served, first fit."""
 
 from __future__ import annotations
 
@@ -8,43 +8,45 @@
 from hyssopway.control.record import VmState
 from hyssopway.document import Resources
 
-from .job_world import JobWorld
+from .job_simulation import JobSimulation
 
 MAX_STARTS = 250
 
 
 @dataclass(slots=True, kw_only=True)
-class FirstFit:
-    """Starts the oldest job on the first VM with room; knows no shares, estimates or quarantine.
+class FirstFitScheduler:
+    """Starts the oldest job on the first VM with enough free resources.
+
+    Has no shares, estimates or quarantine.
 
     Attributes:
-        world: The fleet.
-        used: What runs on each VM; recomputed in each round.
+        simulation: Simulated fleet.
+        used: Resources in use by VM; recomputed in each round.
     """
 
-    world: JobWorld
+    simulation: JobSimulation
     used: dict[str, Resources] = field(default_factory=dict)
 
     async def schedule_once(self) -> None:
         """Proposes the starts of one round."""
-        self.count()
+        self.count_usage()
         for start in self.plan():
-            await self.world.submit(start)
+            await self.simulation.submit(start)
 
-    def count(self) -> None:
-        """Computes what runs on each VM."""
-        state = self.world.replica.state
+    def count_usage(self) -> None:
+        """Recomputes the resources in use on each VM."""
+        state = self.simulation.replica.state
         self.used = {}
         for vm, job_ids in state.indexes.running.items():
             for job_id in job_ids:
                 self.used[vm] = self.used.get(vm, Resources()) + state.tables.jobs[job_id].spec.resources
 
     def plan(self) -> list[StartRun]:
-        """Returns the starts of one round; a job that fits nowhere holds up those behind it."""
-        state = self.world.replica.state
+        """Returns the starts of one round; a job that fits on no VM blocks the jobs behind it."""
+        state = self.simulation.replica.state
         starts: list[StartRun] = []
         for job in state.indexes.pending.values():
-            if job.not_before_ms > self.world.now_ms():
+            if job.not_before_ms > self.simulation.now_ms():
                 continue
             need = job.spec.resources
             for vm in state.tables.vms.values():
@@ -62,4 +64,4 @@
         return starts
 
 
-__all__ = ["FirstFit"]
+__all__ = ["FirstFitScheduler"]
--- a/src/hyssopway_standins/measure/jobs.py
+++ b/src/hyssopway_standins/measure/jobs.py
@@ -1,7 +1,7 @@
-"""Measures the path of a job beside a plain baseline.
+"""Measures scheduling of jobs against a first-fit baseline.
 
-Shares, the bad worker and the cost of decisions and cancellations are measured on one process whose time
-steps; the start of urgent work is measured with daemons as processes and counted at the workers.
+Shares, failing workers and the cost of decisions and cancellations are measured in a simulation in one process. The
+start of urgent work is measured with daemon processes, at the workers.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from hyssopway.document import Resources
 from hyssopway.job.shares import fair_shares
 from hyssopway_standins.fleet import EXAMPLES
+from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.operator_client import OperatorClient
-from hyssopway_standins.outside import Outside
 from hyssopway_standins.processes import Deployment
 
-from .first_fit import FirstFit
-from .job_world import CAPACITY, STEP_S, JobWorld
+from .first_fit import FirstFitScheduler
+from .job_simulation import CAPACITY, STEP_S, JobSimulation
 from .measurement import Measurement, Series
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
 
 
 def measure(*, seed: int, quick: bool) -> Measurement:
-    """Measures all figures of jobs."""
+    """Measures shares, decisions, failing workers, cancellations and starts."""
     measurement = Measurement(area="jobs")
     logger.disable("hyssopway.event")
     asyncio.run(_measure_shares(measurement, seed=seed))
@@ -59,17 +59,19 @@
 
 async def _measure_shares(measurement: Measurement, *, seed: int) -> None:
     for name in ("scheduler", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=_random_times(seed, 2, 6))
-        world.prepare(vms=32)
-        rounds: JobScheduler | FirstFit = world.scheduler() if name == "scheduler" else FirstFit(world=world)
+        simulation = JobSimulation(weights=WEIGHTS, run_s=_random_times(seed, 2, 6))
+        simulation.prepare(vms=32)
+        rounds: JobScheduler | FirstFitScheduler = (
+            simulation.scheduler() if name == "scheduler" else FirstFitScheduler(simulation=simulation)
+        )
         points = []
         for step in range(round(30 / STEP_S)):
-            # Team four begins when the others have filled the fleet.
-            asking = [team for team in WEIGHTS if team != "four" or world.now >= 8]
-            _keep_asking(world, teams=asking, step=step)
+            # Team four starts after the other teams have filled the fleet.
+            asking = [team for team in WEIGHTS if team != "four" or simulation.now >= 8]
+            _keep_jobs_pending(simulation, teams=asking, step=step)
             await rounds.schedule_once()
-            world.step()
-            points.append((world.now, _distance(world)))
+            simulation.step()
+            points.append((simulation.now, _share_distance(simulation)))
         late = [distance for at, distance in points if 10 <= at <= 30]
         late_four = [distance for at, distance in points if at >= 18]
         measurement.figures[f"share_distance_mean_after_10_s_{name}_%"] = 100 * sum(late) / len(late)
@@ -87,19 +89,19 @@
     return lambda _: rng.uniform(least, most)
 
 
-def _keep_asking(world: JobWorld, *, teams: list[str], step: int) -> None:
-    """Keeps 64 jobs of each team waiting, which is a quarter of the fleet."""
+def _keep_jobs_pending(simulation: JobSimulation, *, teams: list[str], step: int) -> None:
+    """Keeps 64 jobs of each team pending, which is a quarter of the fleet."""
     waiting = dict.fromkeys(teams, 0)
-    for job in world.replica.state.indexes.pending.values():
+    for job in simulation.replica.state.indexes.pending.values():
         waiting[job.team] = waiting.get(job.team, 0) + 1
     for team in teams:
         for number in range(64 - waiting[team]):
-            world.accept(f"{team}-{step}-{number}", team=team, need=EIGHT_CORES)
+            simulation.accept(f"{team}-{step}-{number}", team=team, need=EIGHT_CORES)
 
 
-def _distance(world: JobWorld) -> float:
-    """Returns half the sum of the differences between held and fair parts."""
-    state = world.replica.state
+def _share_distance(simulation: JobSimulation) -> float:
+    """Returns half the sum of the differences between the actual and the fair shares."""
+    state = simulation.replica.state
     vms = len(state.tables.vms)
     total = Resources(cores=CAPACITY.cores * vms, memory_gb=CAPACITY.memory_gb * vms)
     held = {team: usage.resources.dominant_share(total) for team, usage in state.indexes.usage.items()}
@@ -113,26 +115,26 @@
 def _measure_decisions(measurement: Measurement, *, sizes: tuple[int, ...]) -> None:
     costs: dict[str, list[float]] = {"scheduler": [], "baseline": []}
     for size in sizes:
-        world = JobWorld(weights=WEIGHTS, run_s=lambda _: 1e9)
-        world.prepare(vms=size)
-        # The last tenth of the VMs is empty and the rest is full.
+        simulation = JobSimulation(weights=WEIGHTS, run_s=lambda _: 1e9)
+        simulation.prepare(vms=size)
+        # 90 % of the VMs are full and the last 10 % are empty.
         for number in range(size * 9 // 10):
-            world.accept(f"full-{number}", team="one", need=CAPACITY)
+            simulation.accept(f"full-{number}", team="one", need=CAPACITY)
             start = StartRun(job_id=f"full-{number}", epoch=1, vm=f"vm{number:05}", vm_epoch=1, reason="fill")
-            world.apply(start)
+            simulation.apply(start)
         for number in range(1_000):
             team = list(WEIGHTS)[number % 4]
-            world.accept(f"new-{number}", team=team, task_kind=f"k{number % 20}", need=TINY)
-        first_fit = FirstFit(world=world)
-        first_fit.count()
+            simulation.accept(f"new-{number}", team=team, task_kind=f"k{number % 20}", need=TINY)
+        first_fit = FirstFitScheduler(simulation=simulation)
+        first_fit.count_usage()
         costs["baseline"].append(_time_decisions(first_fit.plan, rounds=1))
-        planner = world.scheduler().planner
-        # A new leader looks at everything once and builds the trees; decisions are timed after that.
+        planner = simulation.scheduler().planner
+        # The first refresh of a new leader reads the whole state and builds its index; it is timed separately.
         started = time.perf_counter()
-        planner.refresh(state=world.replica.state, now_ms=0)
+        planner.refresh(state=simulation.replica.state, now_ms=0)
         planner.view.find(pool="p", need=TINY)
-        first_look_s = time.perf_counter() - started
-        measurement.figures[f"first_look_{size}_workers_ms"] = 1000 * first_look_s
+        first_refresh_s = time.perf_counter() - started
+        measurement.figures[f"first_look_{size}_workers_ms"] = 1000 * first_refresh_s
         costs["scheduler"].append(_time_decisions(planner.plan, rounds=4))
     for name, values in costs.items():
         for size, cost in zip(sizes, values, strict=True):
@@ -154,21 +156,28 @@
 
 async def _measure_bad_worker(measurement: Measurement, *, seed: int) -> None:
     for name in ("scheduler", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=_random_times(seed, 1, 3), fails=lambda vm: vm == "vm00000")
-        world.prepare(vms=16)
-        rounds: JobScheduler | FirstFit = world.scheduler() if name == "scheduler" else FirstFit(world=world)
+        simulation = JobSimulation(
+            weights=WEIGHTS, run_s=_random_times(seed, 1, 3), fails=lambda vm: vm == "vm00000"
+        )
+        simulation.prepare(vms=16)
+        rounds: JobScheduler | FirstFitScheduler = (
+            simulation.scheduler() if name == "scheduler" else FirstFitScheduler(simulation=simulation)
+        )
         quarantined_at = 0.0
         for step in range(round(30 / STEP_S)):
             if step % 2 == 0:
                 for number in range(4):
                     team = list(WEIGHTS)[number]
-                    world.accept(f"{team}-{step}", team=team, task_kind=f"k{step % 3}", need=EIGHT_CORES)
+                    simulation.accept(f"{team}-{step}", team=team, task_kind=f"k{step % 3}", need=EIGHT_CORES)
             await rounds.schedule_once()
-            world.step()
-            if not quarantined_at and world.replica.state.tables.vms["vm00000"].state is VmState.QUARANTINED:
-                quarantined_at = world.now
-        failed_runs = sum(outcome is RunOutcome.FAILED for _, outcome in world.outcomes)
-        jobs = world.replica.state.tables.jobs.values()
+            simulation.step()
+            if (
+                not quarantined_at
+                and simulation.replica.state.tables.vms["vm00000"].state is VmState.QUARANTINED
+            ):
+                quarantined_at = simulation.now
+        failed_runs = sum(outcome is RunOutcome.FAILED for _, outcome in simulation.outcomes)
+        jobs = simulation.replica.state.tables.jobs.values()
         measurement.figures[f"bad_worker_failed_runs_in_30_s_{name}_runs"] = failed_runs
         measurement.figures[f"bad_worker_lost_jobs_in_30_s_{name}_jobs"] = sum(
             job.status == "failed" for job in jobs
@@ -179,38 +188,38 @@
 
 def _measure_cancellations(measurement: Measurement, *, count: int) -> None:
     for name in ("batch", "baseline"):
-        world = JobWorld(weights=WEIGHTS, run_s=lambda _: 1e9)
-        world.prepare(vms=16)
+        simulation = JobSimulation(weights=WEIGHTS, run_s=lambda _: 1e9)
+        simulation.prepare(vms=16)
         ids = [f"j{number}" for number in range(count)]
         for job_id in ids:
-            world.accept(job_id, team="one", need=EIGHT_CORES)
-        # Records of the measurements before are not collected on the account of this one.
+            simulation.accept(job_id, team="one", need=EIGHT_CORES)
+        # Collects the garbage of earlier measurements, so that it is not timed here.
         gc.collect()
         started = time.perf_counter()
         if name == "batch":
             for at in range(0, count, 1_000):
-                world.apply(CancelJobs(job_ids=ids[at : at + 1_000], team="one"))
+                simulation.apply(CancelJobs(job_ids=ids[at : at + 1_000], team="one"))
         else:
             for job_id in ids:
-                world.apply(CancelJob(job_id=job_id, team="one"))
+                simulation.apply(CancelJob(job_id=job_id, team="one"))
         measurement.figures[f"cancellations_applied_{name}_per_s"] = count / (time.perf_counter() - started)
 
 
 async def _measure_urgent(measurement: Measurement, *, count: int) -> None:
-    """Fills a pool with long tasks and times urgent jobs from their submission to their start."""
+    """Fills a pool with long tasks and measures the time from submission to start of urgent jobs."""
     with tempfile.TemporaryDirectory() as folder:
         deployment = Deployment.prepare(name="pantry", folder=Path(folder))
         deployment.start()
         try:
             await deployment.wait_ready()
-            outside = Outside.prepare(deployment)
-            await outside.start()
+            fleet_stand_in = FleetStandIn.prepare(deployment)
+            await fleet_stand_in.start()
             try:
-                await _measure_starts(measurement, deployment, outside, count=100 * count)
-                waits = await _time_urgent(deployment, outside, count=count)
-                await _measure_burst(measurement, deployment, outside, count=125 * count)
+                await _measure_starts(measurement, deployment, fleet_stand_in, count=100 * count)
+                waits = await _time_urgent(deployment, fleet_stand_in, count=count)
+                await _measure_burst(measurement, deployment, fleet_stand_in, count=125 * count)
             finally:
-                await outside.stop()
+                await fleet_stand_in.stop()
         finally:
             deployment.stop()
     measurement.figures["urgent_start_on_full_pool_median_s"] = sorted(waits)[len(waits) // 2]
@@ -218,19 +227,19 @@
 
 
 async def _measure_starts(
-    measurement: Measurement, deployment: Deployment, outside: Outside, *, count: int
+    measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
-    """Times jobs on a fleet with room from their acceptance to their start."""
+    """Measures the time from acceptance to start of jobs in a pool with free capacity."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    workers = [worker for worker in outside.workers.values() if worker.pool == "pickup"]
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "pickup"]
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
-        await operator.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+        await operator.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
         key = await operator.grant_key("granite-hearth")
-        entries = [TeamJobs(session=session, url=url, key=key) for url in urls]
-        await _wait_for(lambda: all(worker.lease_until for worker in workers))
+        entries = [TeamClient(session=session, url=url, key=key) for url in urls]
+        await _wait_for(lambda: all(worker.lease_expires_at for worker in workers))
         accepted: dict[str, float] = {}
-        # 20 jobs a second of 0.5 s each hold about ten cores.
+        # 20 jobs a second of 0.5 s each use about ten cores.
         for number in range(count):
             entry = entries[number % len(entries)]
             job_id = await entry.submit(cores=1, urgent=False, pool="pickup", run_s=50)
@@ -244,15 +253,15 @@
 
 
 async def _measure_burst(
-    measurement: Measurement, deployment: Deployment, outside: Outside, *, count: int
+    measurement: Measurement, deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int
 ) -> None:
-    """Submits from 64 callers at once over all entry VMs, then cancels everything in one request."""
+    """Submits jobs from 64 concurrent callers over all entry VMs, then cancels all in one request."""
     urls = [daemon.url for daemon in deployment.daemons.values()]
-    workers = [worker for worker in outside.workers.values() if worker.pool == "matching"]
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "matching"]
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=urls[0], token=deployment.operator_token)
         key = await operator.grant_key("monadnock-freezers")
-        entries = [TeamJobs(session=session, url=url, key=key) for url in urls]
+        entries = [TeamClient(session=session, url=url, key=key) for url in urls]
         slots = asyncio.Semaphore(64)
 
         async def submit(number: int) -> str:
@@ -273,13 +282,13 @@
         measurement.figures["cancelled_jobs_started_later_jobs"] = len(late)
 
 
-async def _time_urgent(deployment: Deployment, outside: Outside, *, count: int) -> list[float]:
+async def _time_urgent(deployment: Deployment, fleet_stand_in: FleetStandIn, *, count: int) -> list[float]:
     url = deployment.daemons["nashua-1"].url
     async with aiohttp.ClientSession() as session:
         operator = OperatorClient(session=session, url=url, token=deployment.operator_token)
-        teams = TeamJobs(session=session, url=url, key=await operator.grant_key("granite-hearth"))
-        workers = [worker for worker in outside.workers.values() if worker.pool == "restock"]
-        # Tasks of 60,000 s are cut to 600 s by the time scale; they outlast the measurement.
+        teams = TeamClient(session=session, url=url, key=await operator.grant_key("granite-hearth"))
+        workers = [worker for worker in fleet_stand_in.workers.values() if worker.pool == "restock"]
+        # The time scale shortens tasks of 60,000 s to 600 s, which is longer than the measurement.
         for _ in workers:
             await teams.submit(cores=64, urgent=False)
         await _wait_for(lambda: sum(len(worker.tasks) for worker in workers) == len(workers))
@@ -287,17 +296,17 @@
         for _ in range(count):
             started = time.monotonic()
             job_id = await teams.submit(cores=64, urgent=True)
-            await _wait_for(partial(_runs, workers, job_id))
+            await _wait_for(partial(_is_running, workers, job_id))
             waits.append(time.monotonic() - started)
         return waits
 
 
-class TeamJobs:
-    """Submits jobs of one team.
+class TeamClient:
+    """Submits and cancels jobs of one team.
 
     Attributes:
         session: HTTP client.
-        url: Entry VM.
+        url: Base URL of the entry VM.
         key: Key of the team.
     """
 
@@ -307,7 +316,7 @@
         self.key = key
 
     async def submit(self, *, cores: int, urgent: bool, pool: str = "restock", run_s: float = 60_000) -> str:
-        """Submits a job and returns its id."""
+        """Submits a job, with retries for 10 s, and returns its ID."""
         spec = {
             "task_kind": "urgent" if urgent else f"of-{run_s:g}-s",
             "pool": pool,
@@ -324,7 +333,7 @@
                 if answer.status == 202:
                     return str(body["job_id"])
             if time.monotonic() > deadline:
-                raise TimeoutError(f"job was not accepted: {body}")
+                raise TimeoutError(f"job was not accepted within 10 s: {body}")
             await asyncio.sleep(0.05)
 
     async def cancel(self, ids: list[str]) -> None:
@@ -336,7 +345,7 @@
             answer.raise_for_status()
 
 
-def _runs(workers: list[WorkerStandIn], job_id: str) -> bool:
+def _is_running(workers: list[WorkerStandIn], job_id: str) -> bool:
     return any(job_id in worker.tasks for worker in workers)
 
 
--- a/src/hyssopway_standins/measure/local_group.py
+++ b/src/hyssopway_standins/measure/local_group.py
@@ -1,4 +1,4 @@
-"""A group of members as tasks of one process, with real files and a transport that only delivers."""
+"""A consensus group in one process, with real files and an in-memory transport."""
 
 from __future__ import annotations
 
@@ -36,17 +36,17 @@
 class GroupNode:
     """One member with its tasks."""
 
-    __slots__ = ("member", "parts", "replica", "tasks")
+    __slots__ = ("assembler", "member", "replica", "tasks")
 
     def __init__(self, *, member: Member, replica: Replica) -> None:
         self.member = member
         self.replica = replica
-        self.parts = SnapshotAssembler()
+        self.assembler = SnapshotAssembler()
         self.tasks: list[asyncio.Task[None]] = []
 
 
 class LocalTransport:
-    """Delivers messages to running members."""
+    """Transport that calls the handlers of running members directly."""
 
     __slots__ = ("nodes",)
 
@@ -70,13 +70,13 @@
         return await self._deliver(
             daemon,
             timeout_s,
-            lambda node: answer_snapshot(member=node.member, assembler=node.parts, chunk=chunk),
+            lambda node: answer_snapshot(member=node.member, assembler=node.assembler, chunk=chunk),
         )
 
     async def _deliver(self, daemon: str, timeout_s: float, answer: Callable[[GroupNode], Any]) -> Any:
         node = self.nodes.get(daemon)
         if node is None:
-            raise ConnectionError(f"{daemon} does not run")
+            raise ConnectionError(f"member {daemon} is not running")
         async with asyncio.timeout(timeout_s):
             return await run_to_completion(answer(node))
 
@@ -93,7 +93,7 @@
         self.next_key = 0
 
     def start(self, *names: str) -> None:
-        """Starts members."""
+        """Starts the named members."""
         initial = Configuration(voters=tuple(f"{name}/0" for name in NAMES))
         for name in names:
             replica = Replica()
@@ -101,17 +101,17 @@
             member = Member(daemon=name, store=store, state_machine=replica, clock=time.monotonic)
             member.open(initial=initial)
             node = self.nodes[name] = GroupNode(member=member, replica=replica)
-            wire = LocalTransport(nodes=self.nodes)
+            transport = LocalTransport(nodes=self.nodes)
             rng = random.Random(self.rng.random())
             node.tasks = [
                 asyncio.create_task(member.sync_own_log()),
                 asyncio.create_task(member.apply_committed()),
-                asyncio.create_task(run_elections(member=member, transport=wire, rng=rng)),
-                asyncio.create_task(run_replication(member=member, transport=wire)),
+                asyncio.create_task(run_elections(member=member, transport=transport, rng=rng)),
+                asyncio.create_task(run_replication(member=member, transport=transport)),
             ]
 
     async def stop(self, *names: str) -> None:
-        """Stops members; all without names."""
+        """Stops the named members, or all members when no name is given."""
         for name in names or tuple(self.nodes):
             node = self.nodes.pop(name)
             for task in node.tasks:
@@ -127,7 +127,11 @@
         return max(leaders, key=lambda node: node.member.term, default=None)
 
     async def write(self) -> None:
-        """Proposes a new key until it is acknowledged."""
+        """Proposes a key grant and retries it until it is committed.
+
+        Raises:
+            TimeoutError: No leader accepted the change in time.
+        """
         self.next_key += 1
         data = grant_key(self.next_key)
         deadline = time.monotonic() + WAIT_S
@@ -136,10 +140,10 @@
             if leader is not None and (await leader.member.propose(data=data, timeout_s=2.0)).is_ok():
                 return
             await asyncio.sleep(0.005)
-        raise TimeoutError("no change was accepted")
+        raise TimeoutError("no leader accepted the change in time")
 
     async def write_many(self, *, count: int, writers: int) -> None:
-        """Writes `count` changes with that many writers at once."""
+        """Writes `count` changes with `writers` concurrent writers."""
         left = iter(range(count))
 
         async def work() -> None:
@@ -150,8 +154,8 @@
 
 
 def grant_key(number: int) -> bytes:
-    """Encodes a change of the size that operators make."""
-    # Keys repeat, so that the state has a steady size and the log alone grows.
+    """Returns an encoded key grant, a change of the size that operators make."""
+    # Key IDs repeat, so the size of the state stays constant while the log grows.
     key_id = f"k{number % STATE_KEYS}"
     command = GrantKey(
         key_id=key_id, key_hash="0" * 64, team="team", request_id=f"r{number}", operator="operator"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that run whole deployments as processes."""
+"""Fixtures that run a deployment of daemon processes."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from hyssopway_standins.fleet import EXAMPLES
+from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.operator_client import OperatorClient
-from hyssopway_standins.outside import Outside
 from hyssopway_standins.processes import Deployment
 
 if TYPE_CHECKING:
@@ -26,7 +26,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Passes over the tests listed in KNOWN-RED.txt, unless one of them is asked for by its id."""
+    """Deselects the tests listed in KNOWN-RED.txt, unless one of them is named on the command line."""
     known = _read_known_red()
     if any(name in argument for name in known for argument in config.args):
         return
@@ -34,7 +34,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Prints the tests that were passed over."""
+    """Prints the tests listed in KNOWN-RED.txt."""
     for name in _read_known_red():
         terminalreporter.write_line(f"KNOWN RED, not run: {name}")
 
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 async def deployment(tmp_path: Path) -> AsyncIterator[Deployment]:
-    """Six daemons of the pantry deployment, ready to take changes."""
+    """Six running daemons of the pantry deployment, ready for changes."""
     prepared = Deployment.prepare(name="pantry", folder=tmp_path)
     prepared.start()
     try:
@@ -64,17 +64,17 @@
 
 @pytest.fixture
 async def operator(deployment: Deployment, session: aiohttp.ClientSession) -> OperatorClient:
-    """An operator who put the example document in force."""
+    """Client of an operator, after the activation of the example document."""
     url = deployment.daemons["nashua-1"].url
     client = OperatorClient(session=session, url=url, token=deployment.operator_token)
-    await client.put_in_force((EXAMPLES / "pantry" / "document.yaml").read_text())
+    await client.activate_document((EXAMPLES / "pantry" / "document.yaml").read_text())
     return client
 
 
 @pytest.fixture
-async def outside(deployment: Deployment, operator: OperatorClient) -> AsyncIterator[Outside]:
-    """All endpoints and workers of the pantry deployment."""
-    prepared = Outside.prepare(deployment)
+async def fleet_stand_in(deployment: Deployment, operator: OperatorClient) -> AsyncIterator[FleetStandIn]:
+    """Running stand-ins for all endpoints and workers of the pantry deployment."""
+    prepared = FleetStandIn.prepare(deployment)
     await prepared.start()
     try:
         yield prepared
--- a/tests/control/small_fleet.py
+++ b/tests/control/small_fleet.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from hyssopway_standins.agreed import AgreedStandIn
+from hyssopway_standins.state_machine import StateMachineStandIn
 
 BUDGET = {"max_down": 2, "max_down_per_rack": 1, "max_down_per_zone": 2}
 
@@ -21,7 +21,7 @@
 
 
 def small_fleet(**budget):
-    fleet = AgreedStandIn.prepare(data=small_document(**budget))
+    fleet = StateMachineStandIn.prepare(data=small_document(**budget))
     for pool in ("web", "batch", "spare"):
         for number in range(8):
             zone = ("east", "west")[number % 2]
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -62,9 +62,9 @@
     ):
         done = await cli.run(*command.replace("KEY", key_id).split())
         if command == "keys grant granite-hearth":
-            key_id = done.out.split("_")[1]
-        progress = [line for line in done.err.splitlines() if not line.startswith("active on")]
-        shown, out, err = command, done.out, "\n".join(progress)
+            key_id = done.stdout.split("_")[1]
+        progress = [line for line in done.stderr.splitlines() if not line.startswith("active on")]
+        shown, out, err = command, done.stdout, "\n".join(progress)
         for path, name in file_names.items():
             shown, out, err = (text.replace(path, name) for text in (shown, out, err))
         transcript.add(f"hyssopway {shown}", out, err, f"[{done.status}]")
@@ -100,7 +100,7 @@
 )
 
 
-async def test_fleet_session(deployment, outside, operator, rewrite):
+async def test_fleet_session(deployment, fleet_stand_in, operator, rewrite):
     """Guards against unintended changes of the output of maintenance commands.
 
     No platform is configured, so the wave never starts its canary.
@@ -113,7 +113,7 @@
         vms = {item["vm"]["name"]: item["vm"] for item in (await operator.get("/v1/vms"))["vms"]}
         match wanted_state:
             case "registered":
-                return len(vms) == len(outside.workers)
+                return len(vms) == len(fleet_stand_in.workers)
             case "moved":
                 vm = vms["back-office-vm-1"]
                 return (vm["pool"], vm["state"]) == ("matching", "ready")
@@ -125,13 +125,13 @@
         waves = (await operator.get("/v1/waves"))["waves"]
         actual_command = command.replace("WAVE", waves[0]["wave"] if waves else "")
         done = await cli.run(*actual_command.split(), key=key)
-        transcript.add(f"hyssopway {command}", done.out, done.err, f"[{done.status}]")
+        transcript.add(f"hyssopway {command}", done.stdout, done.stderr, f"[{done.status}]")
         if wanted_state:
             await wait_until(lambda state=wanted_state: has_reached(state))
     transcript.compare("fleet", rewrite=rewrite)
 
 
-async def test_caller_session(deployment, outside, operator, session, rewrite):
+async def test_caller_session(deployment, fleet_stand_in, operator, session, rewrite):
     """Guards against unintended changes of the responses to callers and submitters."""
     key = await operator.grant_key("casco-bay")
     transcript = Transcript()
--- a/tests/whole/test_cli_changes.py
+++ b/tests/whole/test_cli_changes.py
@@ -28,10 +28,10 @@
         f"{suspended_daemon.url}/call/restock-plan", data=b"x", headers=headers
     ) as response:
         body = await response.json()
-    assert promoted.status == 0, promoted.err
-    assert "not confirmed on portland-1: authority to act on older state expires at" in promoted.out
+    assert promoted.status == 0, promoted.stderr
+    assert "not confirmed on portland-1: authority to act on older state expires at" in promoted.stdout
     assert elapsed_s >= 3.0
-    assert withdrawn.status == 0, withdrawn.err
+    assert withdrawn.status == 0, withdrawn.stderr
     assert body["name"] in ("KEY_UNCONFIRMED", "KEY_INVALID"), body
 
 
@@ -41,8 +41,8 @@
     command = ("promote", DOCUMENT, "--expect", "1", "--request-id", "resent")
     results = [await cli.run(*command, first=name) for name in deployment.daemons]
     assert {response.status for response in results} == {0}
-    assert len({response.out for response in results}) == 1
+    assert len({response.stdout for response in results}) == 1
     conflicting = await cli.run("zones", "withdraw", "Portland", "--request-id", "resent")
     assert conflicting.status == 3
-    assert "302 REQUEST_ID_REUSED" in conflicting.err
+    assert "302 REQUEST_ID_REUSED" in conflicting.stderr
     assert (await operator.get("/v1/documents/production"))["generation"] == 2
--- a/tests/whole/test_cuts.py
+++ b/tests/whole/test_cuts.py
@@ -14,7 +14,7 @@
 
 from daemon_dumps import find_leader, replicas_converged
 from hyssopway_standins.job_load import submit_jobs
-from hyssopway_standins.network import Network, between
+from hyssopway_standins.network import Network, both_directions
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
@@ -22,8 +22,8 @@
     from collections.abc import AsyncIterator
     from pathlib import Path
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
     Directions = set[tuple[str, str]]
 
@@ -38,7 +38,7 @@
 
 
 def isolate(*names: str) -> Directions:
-    return between(names, set(DAEMONS) - set(names))
+    return both_directions(names, set(DAEMONS) - set(names))
 
 
 def voters_without(leader: str) -> list[str]:
@@ -79,12 +79,12 @@
     ),
     PartitionCase(
         "leader from two voters",
-        lambda leader: between([leader], voters_without(leader)[:2]),
+        lambda leader: both_directions([leader], voters_without(leader)[:2]),
         lambda leader: set(voters_without(leader)[:2]),
     ),
     PartitionCase(
         "leader from three voters",
-        lambda leader: between([leader], voters_without(leader)[:3]),
+        lambda leader: both_directions([leader], voters_without(leader)[:3]),
         lambda leader: {leader},
     ),
     PartitionCase("leader cannot send", block_outbound, lambda leader: {leader}),
@@ -152,7 +152,7 @@
     deployment: Deployment,
     network: Network,
     operator: OperatorClient,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     session: aiohttp.ClientSession,
     *,
     case: PartitionCase,
@@ -183,10 +183,10 @@
             key=await operator.grant_key("granite-hearth"),
             pools=("restock", "pickup"),
             accepted=[],
-            for_s=60,
+            duration_s=60,
         )
         load.append(group.create_task(jobs))
-        await wait_until(lambda: any_start_in(outside, zone))
+        await wait_until(lambda: any_start_in(fleet_stand_in, zone))
         network.cut(case.blocked(leader))
         partitioned_at = time.monotonic()
         await wait_until(lambda: try_withdraw_key(operator, key), timeout_s=EFFECT_LIMIT_S)
@@ -213,7 +213,10 @@
             served = probe.count_statuses(partitioned_at + EFFECT_LIMIT_S, healed_at)
             assert served[200] >= sum(served.values()) - 1 > 0, (probe.daemon, probe.results[-5:])
     starts = [
-        start[0] for worker in outside.workers.values() if worker.zone == zone for start in worker.starts
+        start[0]
+        for worker in fleet_stand_in.workers.values()
+        if worker.zone == zone
+        for start in worker.starts
     ]
     assert not [at - zone_withdrawn_at for at in starts if at > zone_withdrawn_at + EFFECT_LIMIT_S]
     await wait_until(lambda: replicas_converged(deployment, operator), timeout_s=20)
@@ -245,5 +248,5 @@
     return True
 
 
-async def any_start_in(outside: Outside, zone: str) -> bool:
-    return any(worker.starts for worker in outside.workers.values() if worker.zone == zone)
+async def any_start_in(fleet_stand_in: FleetStandIn, zone: str) -> bool:
+    return any(worker.starts for worker in fleet_stand_in.workers.values() if worker.zone == zone)
--- a/tests/whole/test_planned_stops.py
+++ b/tests/whole/test_planned_stops.py
@@ -16,13 +16,13 @@
 
 from hyssopway_standins.endpoint import SECONDS_HEADER
 from hyssopway_standins.fleet import load_example_document
-from hyssopway_standins.platform import PlatformStandIn, PlatformVmTruth
+from hyssopway_standins.platform import PlatformStandIn, SimulatedVm
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
 WAVE_VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
 DRAINED_VMS = ["restock-vm-1", "matching-vm-2", "dispatch-vm-3", "back-office-vm-4"]
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={vm: PlatformVmTruth() for vm in WAVE_VMS})
+    prepared = PlatformStandIn(vms={vm: SimulatedVm() for vm in WAVE_VMS})
     await prepared.start()
     yield prepared
     await prepared.stop()
@@ -72,18 +72,18 @@
 
 @pytest.mark.faults
 async def test_planned_stops_interrupt_no_request(
-    deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
+    deployment: Deployment, platform: PlatformStandIn, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against planned stops that interrupt requests, and new requests to an endpoint that left."""
     observed = Observations()
 
     def check_vm(vm: str) -> None:
-        busy = [item.name for item in outside.endpoints.values() if item.vm == vm and item.in_progress]
+        busy = [item.name for item in fleet_stand_in.endpoints.values() if item.vm == vm and item.in_progress]
         observed.interrupted += [f"{name} busy when {vm} was empty" for name in busy]
 
     def reboot(vm: str) -> None:
         check_vm(vm)
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         worker.stop()
         worker.boot_id = secrets.token_hex(4)
         worker.start()
@@ -98,7 +98,7 @@
             group.create_task(run_caller(deployment, session, observed, stop, key=key, number=number))
         try:
             await asyncio.sleep(SLOW_REQUEST_S)
-            departed = outside.endpoints["reports@back-office-vm-5"]
+            departed = fleet_stand_in.endpoints["reports@back-office-vm-5"]
             await departed.leave()
             departed_at = time.monotonic()
             wave = (await operator.post("/v1/waves", {"pools": ["pickup"]}))["reference"]
@@ -116,7 +116,7 @@
             wave_status = await operator.get(f"/v1/waves/{wave}")
             sys.stdout.write(f"wave: {wave_status}\noutcomes: {dict(observed.outcomes)}\n")
     assert observed.interrupted == []
-    assert {item.name: item.cut for item in outside.endpoints.values() if item.cut} == {}
+    assert {item.name: item.aborted for item in fleet_stand_in.endpoints.values() if item.aborted} == {}
     assert departed.received_at - departed_at < NEW_WORK_LIMIT_S
     assert observed.outcomes["long ok"] > CALLERS / 10
 
--- a/tests/whole/test_races.py
+++ b/tests/whole/test_races.py
@@ -16,8 +16,8 @@
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 RACE_DURATION_S = 10.0
@@ -137,7 +137,10 @@
 
 @pytest.mark.faults
 async def test_resumed_leader_does_not_act_on_stale_state(
-    deployment: Deployment, operator: OperatorClient, outside: Outside, session: aiohttp.ClientSession
+    deployment: Deployment,
+    operator: OperatorClient,
+    fleet_stand_in: FleetStandIn,
+    session: aiohttp.ClientSession,
 ):
     """Guards against a leader that was suspended beyond every lease and still trusts its state."""
     key = await operator.grant_key("casco-bay")
@@ -167,7 +170,7 @@
     statuses = [*(await asyncio.gather(*waiting)), *[await call(number) for number in range(9, 30)]]
     assert withdrawal_s < 5.0
     assert set(statuses) <= {403, 503}
-    seen = {name for endpoint in outside.endpoints.values() for name in endpoint.seen}
+    seen = {name for endpoint in fleet_stand_in.endpoints.values() for name in endpoint.request_counts}
     assert not [name for name in seen if name.startswith("woken-") and name != "woken-0"]
     await wait_until(lambda: replicas_converged(deployment, operator))
 
--- a/tests/whole/test_requests_under_faults.py
+++ b/tests/whole/test_requests_under_faults.py
@@ -14,8 +14,8 @@
 import pytest
 
 if TYPE_CHECKING:
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
     from hyssopway_standins.processes import Deployment
 
 SEED = 20
@@ -44,13 +44,13 @@
 
 @pytest.mark.faults
 async def test_guarantees_hold_in_a_burst_with_faults(
-    deployment: Deployment, outside: Outside, operator: OperatorClient
+    deployment: Deployment, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against exceeded slots, repeated execution, false "not run" and corrupted responses."""
     rng = random.Random(SEED)
     key = await operator.grant_key("casco-bay")
     await asyncio.sleep(2.5)  # slow start of the endpoints
-    for endpoint in outside.endpoints.values():
+    for endpoint in fleet_stand_in.endpoints.values():
         endpoint.service_s = 0.1  # long enough that all slots are in use
     urls = [daemon.url for daemon in deployment.daemons.values()]
     observed = Observations()
@@ -82,10 +82,10 @@
         ]
         rng.shuffle(calls)
         async with asyncio.TaskGroup() as group:
-            group.create_task(_inject_faults(deployment, outside))
+            group.create_task(_inject_faults(deployment, fleet_stand_in))
             for call in calls:
                 group.create_task(call)
-    _check(observed, outside=outside)
+    _check(observed, fleet_stand_in=fleet_stand_in)
 
 
 async def _send(session, semaphore, observed, *, url, name, headers=None) -> None:
@@ -112,8 +112,8 @@
         observed.not_run.add(name)
 
 
-async def _inject_faults(deployment: Deployment, outside: Outside) -> None:
-    endpoints = [item for item in outside.endpoints.values() if item.service == "pickup-schedule"]
+async def _inject_faults(deployment: Deployment, fleet_stand_in: FleetStandIn) -> None:
+    endpoints = [item for item in fleet_stand_in.endpoints.values() if item.service == "pickup-schedule"]
     await asyncio.sleep(0.7)
     deployment.daemons["nashua-1"].kill()  # home of all endpoints of its zone
     await asyncio.sleep(0.7)
@@ -125,12 +125,12 @@
     deployment.daemons["worcester-1"].send(signal.SIGCONT)
 
 
-def _check(observed: Observations, *, outside: Outside) -> None:
+def _check(observed: Observations, *, fleet_stand_in: FleetStandIn) -> None:
     sys.stdout.write(f"outcomes: {dict(observed.outcomes)}\n")
     seen: Counter[str] = Counter()
-    for endpoint in outside.endpoints.values():
-        assert endpoint.most_in_progress <= endpoint.slots, endpoint.name
-        seen += endpoint.seen
+    for endpoint in fleet_stand_in.endpoints.values():
+        assert endpoint.peak_in_progress <= endpoint.slots, endpoint.name
+        seen += endpoint.request_counts
     assert not observed.corrupted
     assert max(count for name, count in seen.items() if name.startswith("once-")) == 1
     assert [name for name in observed.not_run if name.startswith("plain-") and seen[name]] == []
--- a/tests/whole/test_wave.py
+++ b/tests/whole/test_wave.py
@@ -11,15 +11,15 @@
 
 from hyssopway.control.record import RunOutcome
 from hyssopway_standins.job_load import submit_jobs
-from hyssopway_standins.platform import PlatformFault, PlatformStandIn, PlatformVmTruth
+from hyssopway_standins.platform import PlatformFault, PlatformStandIn, SimulatedVm
 from hyssopway_standins.processes import Deployment
 from hyssopway_standins.waiting import wait_until
 
 if TYPE_CHECKING:
     import aiohttp
 
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.operator_client import OperatorClient
-    from hyssopway_standins.outside import Outside
 
 VMS = [f"pickup-vm-{number}" for number in range(1, 9)]
 TIMEOUT_S = 90.0
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 async def platform():
-    prepared = PlatformStandIn(vms={vm: PlatformVmTruth() for vm in VMS})
+    prepared = PlatformStandIn(vms={vm: SimulatedVm() for vm in VMS})
     await prepared.start()
     yield prepared
     await prepared.stop()
@@ -48,7 +48,7 @@
 async def test_wave_with_failing_platform_and_lost_leader(
     deployment: Deployment,
     platform: PlatformStandIn,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     operator: OperatorClient,
     session: aiohttp.ClientSession,
 ):
@@ -57,7 +57,7 @@
     down_counts: list[Counter[str]] = []
 
     def reboot(vm: str) -> None:
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         interrupted_tasks.extend(worker.tasks)
         worker.stop()
         worker.boot_id = secrets.token_hex(4)
@@ -66,9 +66,9 @@
 
     platform.on_reboot = reboot
     platform.faults = {
-        "pickup-vm-1": [PlatformFault.SAYS_DONE],
-        "pickup-vm-2": [PlatformFault.BREAKS, PlatformFault.ANSWERS_LATE],
-        "pickup-vm-3": [PlatformFault.NEVER_ANSWERS],
+        "pickup-vm-1": [PlatformFault.FALSE_SUCCESS],
+        "pickup-vm-2": [PlatformFault.SERVER_ERROR, PlatformFault.LATE_RESPONSE],
+        "pickup-vm-3": [PlatformFault.NO_RESPONSE],
     }
     key = await operator.grant_key("granite-hearth")
     jobs = asyncio.create_task(
@@ -78,7 +78,7 @@
             key=key,
             pools=("pickup",),
             accepted=[],
-            for_s=TIMEOUT_S,
+            duration_s=TIMEOUT_S,
         )
     )
     await wait_until(lambda: all_registered(operator), timeout_s=TIMEOUT_S)
@@ -110,13 +110,13 @@
 
 @pytest.mark.faults
 async def test_canary_that_fails_all_jobs_after_its_reboot_pauses_the_wave(
-    deployment: Deployment, platform: PlatformStandIn, outside: Outside, operator: OperatorClient
+    deployment: Deployment, platform: PlatformStandIn, fleet_stand_in: FleetStandIn, operator: OperatorClient
 ):
     """Guards against a wave that continues because the platform reports a VM as healthy whose jobs fail."""
     rebooted: list[str] = []
 
     def reboot(vm: str) -> None:
-        worker = outside.workers[vm]
+        worker = fleet_stand_in.workers[vm]
         worker.stop()
         if not rebooted:
             worker.choose_outcome = lambda _: RunOutcome.FAILED
@@ -133,7 +133,7 @@
             key=key,
             pools=("pickup",),
             accepted=accepted,
-            for_s=TIMEOUT_S,
+            duration_s=TIMEOUT_S,
         )
     )
     try:
@@ -145,7 +145,7 @@
             f"canary {rebooted[0]} fails after its reboot",
         )
         assert await read_vm_state(operator, rebooted[0]) == "quarantined"
-        outside.workers[rebooted[0]].choose_outcome = lambda _: RunOutcome.DONE
+        fleet_stand_in.workers[rebooted[0]].choose_outcome = lambda _: RunOutcome.DONE
         await operator.post(f"/v1/waves/{wave}/resume", {"expected_epoch": wave_status["epoch"]})
         wave_status = await wait_until(lambda: read_ended_wave(operator, wave), timeout_s=TIMEOUT_S)
         await wait_until(lambda: is_ready(operator, rebooted[0]), timeout_s=TIMEOUT_S)
--- a/tests/whole/test_zone_withdrawal.py
+++ b/tests/whole/test_zone_withdrawal.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     import aiohttp
 
-    from hyssopway_standins.outside import Outside
+    from hyssopway_standins.fleet_stand_in import FleetStandIn
     from hyssopway_standins.processes import Deployment
 
 TIMEOUT_S = 60.0
@@ -30,7 +30,10 @@
 
 @pytest.mark.faults
 async def test_zone_is_withdrawn_and_returned_under_load(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against starts after a withdrawal, exceeded budgets, lost jobs and VMs without a pool."""
     key = await operator.grant_key("granite-hearth")
@@ -38,7 +41,7 @@
     accepted: list[str] = []
     load = asyncio.create_task(
         submit_jobs(
-            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, for_s=TIMEOUT_S
+            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, duration_s=TIMEOUT_S
         )
     )
     try:
@@ -56,13 +59,19 @@
     finally:
         load.cancel()
     starts = [
-        start[0] for worker in outside.workers.values() if worker.zone == ZONE for start in worker.starts
+        start[0]
+        for worker in fleet_stand_in.workers.values()
+        if worker.zone == ZONE
+        for start in worker.starts
     ]
     assert not [at for at in starts if withdrawn_at + START_LIMIT_S < at < returned_at]
     assert set(await read_pools(operator)) == set(before)
     await wait_until(lambda: all_done(operator, accepted), timeout_s=TIMEOUT_S)
     runs = Counter(
-        start[1] for worker in outside.workers.values() for start in worker.starts if start[1] in accepted
+        start[1]
+        for worker in fleet_stand_in.workers.values()
+        for start in worker.starts
+        if start[1] in accepted
     )
     assert set(runs) == set(accepted)
     restarted = [job_id for job_id, count in runs.items() if count > 1]
@@ -74,7 +83,7 @@
 @pytest.mark.parametrize(("names", "suspended"), [((ZONE, "Providence"), ()), ((ZONE,), ("portland-1",))])
 async def test_withdrawal_of_two_zones_or_of_a_suspended_one(
     deployment: Deployment,
-    outside: Outside,
+    fleet_stand_in: FleetStandIn,
     operator: OperatorClient,
     names: tuple[str, ...],
     suspended: tuple[str, ...],
@@ -89,13 +98,13 @@
             key=key,
             pools=("restock", "pickup"),
             accepted=accepted,
-            for_s=TIMEOUT_S,
+            duration_s=TIMEOUT_S,
         )
     )
     try:
         await wait_until(lambda: all_registered(operator), timeout_s=TIMEOUT_S)
         before = set(await read_pools(operator))
-        await wait_until(lambda: all_zones_started(outside, names), timeout_s=TIMEOUT_S)
+        await wait_until(lambda: all_zones_started(fleet_stand_in, names), timeout_s=TIMEOUT_S)
         for daemon in suspended:
             deployment.daemons[daemon].send(signal.SIGSTOP)
         for zone in names:
@@ -115,14 +124,17 @@
             )
     finally:
         load.cancel()
-    assert not list_starts(outside, names, interval=(withdrawn_at + START_LIMIT_S, returned_at))
+    assert not list_starts(fleet_stand_in, names, interval=(withdrawn_at + START_LIMIT_S, returned_at))
     assert set(await read_pools(operator)) == before
     await wait_until(lambda: all_done(operator, accepted), timeout_s=TIMEOUT_S)
 
 
 @pytest.mark.faults
 async def test_competing_operators_withdraw_and_return_a_zone_repeatedly(
-    deployment: Deployment, outside: Outside, operator: OperatorClient, session: aiohttp.ClientSession
+    deployment: Deployment,
+    fleet_stand_in: FleetStandIn,
+    operator: OperatorClient,
+    session: aiohttp.ClientSession,
 ):
     """Guards against two changes of one epoch, a retry that takes effect twice, and VMs that stay stopped."""
     key = await operator.grant_key("granite-hearth")
@@ -131,7 +143,7 @@
     other = OperatorClient(session=session, url=url, token=operator.token, name="lee")
     load = asyncio.create_task(
         submit_jobs(
-            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, for_s=TIMEOUT_S
+            session, url=url, key=key, pools=("restock", "pickup"), accepted=accepted, duration_s=TIMEOUT_S
         )
     )
     path = f"/v1/zones/{ZONE}"
@@ -163,14 +175,17 @@
     await wait_until(lambda: all_done(operator, accepted), timeout_s=TIMEOUT_S)
 
 
-def list_starts(outside: Outside, names: tuple[str, ...], *, interval: tuple[float, float]) -> list[float]:
-    workers = [worker for worker in outside.workers.values() if worker.zone in names]
+def list_starts(
+    fleet_stand_in: FleetStandIn, names: tuple[str, ...], *, interval: tuple[float, float]
+) -> list[float]:
+    workers = [worker for worker in fleet_stand_in.workers.values() if worker.zone in names]
     return [at for worker in workers for at, *_ in worker.starts if interval[0] < at < interval[1]]
 
 
-async def all_zones_started(outside: Outside, names: tuple[str, ...]) -> bool:
+async def all_zones_started(fleet_stand_in: FleetStandIn, names: tuple[str, ...]) -> bool:
     return all(
-        any(worker.starts for worker in outside.workers.values() if worker.zone == zone) for zone in names
+        any(worker.starts for worker in fleet_stand_in.workers.values() if worker.zone == zone)
+        for zone in names
     )
 
 
