--- a/tests/whole/mixed_releases.py
+++ b/tests/whole/mixed_releases.py
@@ -21,7 +21,7 @@
 import aiohttp
 import typer
 
-from daemon_dumps import find_leader, replicas_converged
+from daemon_dumps import find_leader, read_dumps, replicas_converged
 from hyssopway_standins.fleet import EXAMPLES
 from hyssopway_standins.fleet_stand_in import FleetStandIn
 from hyssopway_standins.job_load import submit_jobs
@@ -266,12 +266,22 @@
             try:
                 await wait_until(condition, timeout_s=timeout_s)
             except TimeoutError as error:
-                self.broken.append(f"{condition.__name__}: {error}")
+                self.broken.append(f"{condition.__name__}: {error}; {await self._find_differences(operator)}")
         keys = {key["key_id"]: key for key in (await operator.get("/v1/keys"))["keys"]}
         if not keys[self.withdrawn_key_id]["withdrawn_by"]:
             self.broken.append("a withdrawn key is active again")
         typer.echo(f"  checked {len(self.accepted)} jobs and {len(keys)} keys: {self.broken or 'all held'}")
 
+    async def _find_differences(self, operator: OperatorClient) -> list[str]:
+        dumps = await read_dumps(self.deployment, operator)
+        first = dumps[0]["agreed_state"]
+        return [
+            f"{dump['daemon']} {dump['freshness_age_s']:.1f} s: {key}: {str(value)[:300]} not {str(first[key])[:300]}"
+            for dump in dumps
+            for key, value in dump["agreed_state"].items()
+            if value != first[key]
+        ]
+
 
 async def run_daemons(*, other: Path, folder: Path) -> list[str]:
     """Runs daemons of both releases; returns the violated guarantees."""
